--- a/bench/flow_driver.cc
+++ b/bench/flow_driver.cc
@@ -15,7 +15,7 @@
 
 #include "bench/flow_worker.h"
 #include "oriolewalk/base/overloaded.h"
-#include "oriolewalk/flow/leading.h"
+#include "oriolewalk/flow/leader_core.h"
 #include "oriolewalk/flow/open_steps.h"
 
 namespace oriolewalk::bench {
--- a/oriolewalk/flow/advice_book.cc
+++ b/oriolewalk/flow/advice_cache.cc
@@ -1,9 +1,9 @@
-#include "oriolewalk/flow/advice_book.h"
+#include "oriolewalk/flow/advice_cache.h"
 
 #include <algorithm>
 #include <string_view>
 
-#include "oriolewalk/flow/by_job.h"
+#include "oriolewalk/flow/erase_while.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/asking.cc
+++ b/oriolewalk/flow/advice_queries.cc
@@ -1,4 +1,4 @@
-#include "oriolewalk/flow/asking.h"
+#include "oriolewalk/flow/advice_queries.h"
 
 #include <algorithm>
 #include <chrono>
@@ -6,7 +6,7 @@
 #include <tuple>
 #include <utility>
 
-#include "oriolewalk/flow/placing.h"
+#include "oriolewalk/flow/placement.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/crash_book.cc
+++ b/oriolewalk/flow/crash_tracker.cc
@@ -1,8 +1,8 @@
-#include "oriolewalk/flow/crash_book.h"
+#include "oriolewalk/flow/crash_tracker.h"
 
 #include <algorithm>
 
-#include "oriolewalk/flow/by_job.h"
+#include "oriolewalk/flow/erase_while.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/flow_core.h
+++ b/oriolewalk/flow/flow_core.h
@@ -26,7 +26,7 @@
 #include "oriolewalk/consensus/raft_node.h"
 #include "oriolewalk/flow/decision.h"
 #include "oriolewalk/flow/flow_state.h"
-#include "oriolewalk/flow/leading.h"
+#include "oriolewalk/flow/leader_core.h"
 #include "oriolewalk/flow/messages.h"
 #include "oriolewalk/flow/options.h"
 
--- a/oriolewalk/flow/flow_state.h
+++ b/oriolewalk/flow/flow_state.h
@@ -31,7 +31,7 @@
 #include "oriolewalk/base/codec.h"
 #include "oriolewalk/base/error.h"
 #include "oriolewalk/flow/command.h"
-#include "oriolewalk/flow/crash_book.h"
+#include "oriolewalk/flow/crash_tracker.h"
 #include "oriolewalk/flow/records.h"
 #include "oriolewalk/flow/types.h"
 
--- a/oriolewalk/flow/beat_desk.cc
+++ b/oriolewalk/flow/heartbeat_aggregator.cc
@@ -1,4 +1,4 @@
-#include "oriolewalk/flow/beat_desk.h"
+#include "oriolewalk/flow/heartbeat_aggregator.h"
 
 #include <algorithm>
 #include <utility>
--- a/oriolewalk/flow/sharing.cc
+++ b/oriolewalk/flow/interference_control.cc
@@ -1,4 +1,4 @@
-#include "oriolewalk/flow/sharing.h"
+#include "oriolewalk/flow/interference_control.h"
 
 #include <algorithm>
 
--- a/oriolewalk/flow/leading_advice.cc
+++ b/oriolewalk/flow/leader_advice.cc
@@ -6,7 +6,7 @@
 #include <unordered_set>
 #include <utility>
 
-#include "oriolewalk/flow/leading.h"
+#include "oriolewalk/flow/leader_core.h"
 #include "oriolewalk/flow/whole_ms.h"
 
 namespace oriolewalk::flow {
--- a/oriolewalk/flow/leading_calls.cc
+++ b/oriolewalk/flow/leader_calls.cc
@@ -5,7 +5,7 @@
 #include <utility>
 #include <variant>
 
-#include "oriolewalk/flow/leading.h"
+#include "oriolewalk/flow/leader_core.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/leading.cc
+++ b/oriolewalk/flow/leader_core.cc
@@ -1,4 +1,4 @@
-#include "oriolewalk/flow/leading.h"
+#include "oriolewalk/flow/leader_core.h"
 
 #include <algorithm>
 #include <chrono>
@@ -6,7 +6,7 @@
 #include <utility>
 #include <variant>
 
-#include "oriolewalk/flow/by_job.h"
+#include "oriolewalk/flow/erase_while.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/leading.h
+++ b/oriolewalk/flow/leader_core.h
@@ -26,21 +26,21 @@
 
 #include "oriolewalk/base/clock.h"
 #include "oriolewalk/base/error.h"
-#include "oriolewalk/flow/advice_book.h"
-#include "oriolewalk/flow/carriers.h"
+#include "oriolewalk/flow/advice_cache.h"
 #include "oriolewalk/flow/command.h"
 #include "oriolewalk/flow/decision.h"
 #include "oriolewalk/flow/flow_state.h"
+#include "oriolewalk/flow/interference_control.h"
 #include "oriolewalk/flow/messages.h"
 #include "oriolewalk/flow/options.h"
-#include "oriolewalk/flow/plan_pace.h"
+#include "oriolewalk/flow/plan_timer.h"
 #include "oriolewalk/flow/planner.h"
-#include "oriolewalk/flow/probation.h"
-#include "oriolewalk/flow/sharing.h"
-#include "oriolewalk/flow/stragglers.h"
+#include "oriolewalk/flow/relay_assignment.h"
+#include "oriolewalk/flow/straggler_detector.h"
+#include "oriolewalk/flow/suspect_isolation.h"
 #include "oriolewalk/flow/waits.h"
 #include "oriolewalk/flow/worker_health.h"
-#include "oriolewalk/flow/worker_keeper.h"
+#include "oriolewalk/flow/worker_supervisor.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/leading_notes.cc
+++ b/oriolewalk/flow/leader_log.cc
@@ -8,7 +8,7 @@
 #include <set>
 #include <utility>
 
-#include "oriolewalk/flow/leading.h"
+#include "oriolewalk/flow/leader_core.h"
 #include "oriolewalk/flow/open_steps.h"
 #include "oriolewalk/flow/whole_ms.h"
 
--- a/oriolewalk/flow/leading_plans.cc
+++ b/oriolewalk/flow/leader_plans.cc
@@ -5,7 +5,7 @@
 #include <variant>
 
 #include "oriolewalk/base/overloaded.h"
-#include "oriolewalk/flow/leading.h"
+#include "oriolewalk/flow/leader_core.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/messages.h
+++ b/oriolewalk/flow/messages.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "oriolewalk/base/codec.h"
-#include "oriolewalk/flow/advice_book.h"
+#include "oriolewalk/flow/advice_cache.h"
 #include "oriolewalk/flow/types.h"
 
 namespace oriolewalk::flow {
--- a/oriolewalk/flow/placing.cc
+++ b/oriolewalk/flow/placement.cc
@@ -1,4 +1,4 @@
-#include "oriolewalk/flow/placing.h"
+#include "oriolewalk/flow/placement.h"
 
 #include <algorithm>
 
--- a/oriolewalk/flow/plan_pace.cc
+++ b/oriolewalk/flow/plan_timer.cc
@@ -1,4 +1,4 @@
-#include "oriolewalk/flow/plan_pace.h"
+#include "oriolewalk/flow/plan_timer.h"
 
 #include <algorithm>
 #include <chrono>
--- a/oriolewalk/flow/plan_types.h
+++ b/oriolewalk/flow/plan_types.h
@@ -13,10 +13,10 @@
 #include <map>
 #include <vector>
 
-#include "oriolewalk/flow/advice_book.h"
+#include "oriolewalk/flow/advice_cache.h"
 #include "oriolewalk/flow/flow_state.h"
 #include "oriolewalk/flow/plan_policy.h"
-#include "oriolewalk/flow/probation.h"
+#include "oriolewalk/flow/suspect_isolation.h"
 #include "oriolewalk/flow/types.h"
 
 namespace oriolewalk::flow {
--- a/oriolewalk/flow/planner.cc
+++ b/oriolewalk/flow/planner.cc
@@ -5,9 +5,9 @@
 #include <optional>
 #include <unordered_map>
 
-#include "oriolewalk/flow/holding.h"
 #include "oriolewalk/flow/open_steps.h"
-#include "oriolewalk/flow/placing.h"
+#include "oriolewalk/flow/placement.h"
+#include "oriolewalk/flow/reservations.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/planner.h
+++ b/oriolewalk/flow/planner.h
@@ -24,9 +24,9 @@
 #include <vector>
 
 #include "oriolewalk/base/clock.h"
-#include "oriolewalk/flow/advice_book.h"
+#include "oriolewalk/flow/advice_cache.h"
+#include "oriolewalk/flow/advice_queries.h"
 #include "oriolewalk/flow/advisors.h"
-#include "oriolewalk/flow/asking.h"
 #include "oriolewalk/flow/flow_state.h"
 #include "oriolewalk/flow/plan_types.h"
 #include "oriolewalk/flow/preemption.h"
--- a/oriolewalk/flow/carriers.cc
+++ b/oriolewalk/flow/relay_assignment.cc
@@ -1,4 +1,4 @@
-#include "oriolewalk/flow/carriers.h"
+#include "oriolewalk/flow/relay_assignment.h"
 
 #include <algorithm>
 #include <cstdint>
--- a/oriolewalk/flow/holding.cc
+++ b/oriolewalk/flow/reservations.cc
@@ -1,4 +1,4 @@
-#include "oriolewalk/flow/holding.h"
+#include "oriolewalk/flow/reservations.h"
 
 #include <algorithm>
 #include <optional>
--- a/oriolewalk/flow/holding.h
+++ b/oriolewalk/flow/reservations.h
@@ -21,7 +21,7 @@
 #include <span>
 #include <vector>
 
-#include "oriolewalk/flow/placing.h"
+#include "oriolewalk/flow/placement.h"
 #include "oriolewalk/flow/plan_types.h"
 #include "oriolewalk/flow/preemption.h"
 
--- a/oriolewalk/flow/stragglers.cc
+++ b/oriolewalk/flow/straggler_detector.cc
@@ -1,8 +1,8 @@
-#include "oriolewalk/flow/stragglers.h"
+#include "oriolewalk/flow/straggler_detector.h"
 
 #include <chrono>
 
-#include "oriolewalk/flow/by_job.h"
+#include "oriolewalk/flow/erase_while.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/stragglers.h
+++ b/oriolewalk/flow/straggler_detector.h
@@ -22,7 +22,7 @@
 #include <optional>
 
 #include "oriolewalk/base/clock.h"
-#include "oriolewalk/flow/advice_book.h"
+#include "oriolewalk/flow/advice_cache.h"
 #include "oriolewalk/flow/types.h"
 
 namespace oriolewalk::flow {
--- a/oriolewalk/flow/probation.cc
+++ b/oriolewalk/flow/suspect_isolation.cc
@@ -1,9 +1,9 @@
-#include "oriolewalk/flow/probation.h"
+#include "oriolewalk/flow/suspect_isolation.h"
 
 #include <algorithm>
 #include <limits>
 
-#include "oriolewalk/flow/by_job.h"
+#include "oriolewalk/flow/erase_while.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/waits.h
+++ b/oriolewalk/flow/waits.h
@@ -19,7 +19,7 @@
 #include <vector>
 
 #include "oriolewalk/base/clock.h"
-#include "oriolewalk/flow/advice_book.h"
+#include "oriolewalk/flow/advice_cache.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/worker_keeper.cc
+++ b/oriolewalk/flow/worker_supervisor.cc
@@ -1,5 +1,5 @@
-#include "oriolewalk/flow/worker_keeper.h"
 #include "oriolewalk/flow/whole_ms.h"
+#include "oriolewalk/flow/worker_supervisor.h"
 
 #include <algorithm>
 #include <chrono>
--- a/oriolewalk/flow/worker_keeper_answers.cc
+++ b/oriolewalk/flow/worker_supervisor_answers.cc
@@ -6,7 +6,7 @@
 #include <variant>
 
 #include "oriolewalk/base/overloaded.h"
-#include "oriolewalk/flow/worker_keeper.h"
+#include "oriolewalk/flow/worker_supervisor.h"
 
 namespace oriolewalk::flow {
 
--- a/oriolewalk/flow/worker_keeper_losses.cc
+++ b/oriolewalk/flow/worker_supervisor_losses.cc
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "oriolewalk/flow/whole_ms.h"
-#include "oriolewalk/flow/worker_keeper.h"
+#include "oriolewalk/flow/worker_supervisor.h"
 
 namespace oriolewalk::flow {
 
--- a/testing/flow/asking_test.cc
+++ b/testing/flow/advice_queries_test.cc
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 
 #include "oriolewalk/flow/planner.h"
-#include "testing/flow/plan_scene.h"
+#include "testing/flow/plan_fixture.h"
 
 namespace oriolewalk::flow {
 
--- a/testing/flow/crash_book_test.cc
+++ b/testing/flow/crash_tracker_test.cc
@@ -6,9 +6,9 @@
 
 #include <catch2/catch.hpp>
 
-#include "oriolewalk/flow/crash_book.h"
+#include "oriolewalk/flow/crash_tracker.h"
 #include "testing/flow/fixtures.h"
-#include "testing/flow/plan_scene.h"
+#include "testing/flow/plan_fixture.h"
 
 // What is counted of crashes, for how long, and what follows.
 
--- a/testing/flow/beat_desk_test.cc
+++ b/testing/flow/heartbeat_aggregator_test.cc
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "oriolewalk/flow/beat_desk.h"
+#include "oriolewalk/flow/heartbeat_aggregator.h"
 #include "testing/flow/fixtures.h"
 
 namespace oriolewalk::flow {
--- a/testing/flow/sharing_test.cc
+++ b/testing/flow/interference_control_test.cc
@@ -4,7 +4,7 @@
 #include <catch2/catch.hpp>
 
 #include "oriolewalk/base/random.h"
-#include "oriolewalk/flow/sharing.h"
+#include "oriolewalk/flow/interference_control.h"
 #include "testing/flow/fixtures.h"
 
 namespace oriolewalk::flow {
--- a/testing/flow/plan_pace_test.cc
+++ b/testing/flow/plan_timer_test.cc
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "oriolewalk/flow/plan_pace.h"
+#include "oriolewalk/flow/plan_timer.h"
 
 namespace oriolewalk::flow {
 
--- a/testing/flow/carriers_test.cc
+++ b/testing/flow/relay_assignment_test.cc
@@ -4,7 +4,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "oriolewalk/flow/carriers.h"
+#include "oriolewalk/flow/relay_assignment.h"
 
 namespace oriolewalk::flow {
 
--- a/testing/flow/holding_test.cc
+++ b/testing/flow/reservations_test.cc
@@ -6,7 +6,7 @@
 #include <algorithm>
 
 #include "oriolewalk/flow/planner.h"
-#include "testing/flow/plan_scene.h"
+#include "testing/flow/plan_fixture.h"
 
 namespace oriolewalk::flow {
 
--- a/testing/flow/learning_test.cc
+++ b/testing/flow/worker_health_test.cc
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "oriolewalk/flow/stragglers.h"
+#include "oriolewalk/flow/straggler_detector.h"
 #include "oriolewalk/flow/worker_health.h"
 #include "testing/flow/fixtures.h"
 
--- a/testing/flow/worker_keeper_test.cc
+++ b/testing/flow/worker_supervisor_test.cc
@@ -9,7 +9,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "oriolewalk/flow/worker_keeper.h"
+#include "oriolewalk/flow/worker_supervisor.h"
 #include "testing/flow/fixtures.h"
 
 namespace oriolewalk::flow {
