--- a/bench/flow_bench.cc
+++ b/bench/flow_bench.cc
@@ -31,7 +31,7 @@
 std::vector<named_policy>
 Policies()
 {
-  using flow::place_rule;
+  using flow::placement_rule;
   using flow::plan_order;
   using flow::plan_policy;
   std::vector<named_policy> all{ { "own", {} } };
@@ -41,18 +41,21 @@
     all.push_back({ aName, policy });
   };
   const auto plain = [](plan_policy& aPolicy) {
-    aPolicy = {
-      plan_order::LeastSlack, place_rule::Spreading, false, false, false, false
-    };
+    aPolicy = { plan_order::LeastSlack,
+                placement_rule::Spreading,
+                false,
+                false,
+                false,
+                false };
   };
   add("no_packing",
-      [](plan_policy& aOne) { aOne.mPlaces = place_rule::Spreading; });
-  add("no_asking_ahead", [](plan_policy& aOne) { aOne.mAsksAhead = false; });
-  add("no_holds", [](plan_policy& aOne) { aOne.mHolds = false; });
+      [](plan_policy& aOne) { aOne.mPlacement = placement_rule::Spreading; });
+  add("no_asking_ahead", [](plan_policy& aOne) { aOne.mQueriesAhead = false; });
+  add("no_holds", [](plan_policy& aOne) { aOne.mReservesCapacity = false; });
   add("no_preemption", [](plan_policy& aOne) { aOne.mPreempts = false; });
-  add("no_shares", [](plan_policy& aOne) { aOne.mShares = false; });
+  add("no_shares", [](plan_policy& aOne) { aOne.mSharesAdvisors = false; });
   add("first_fit",
-      [](plan_policy& aOne) { aOne.mPlaces = place_rule::FirstFit; });
+      [](plan_policy& aOne) { aOne.mPlacement = placement_rule::FirstFit; });
   add("plain_least_slack", plain);
   add("plain_priority", [&](plan_policy& aOne) {
     plain(aOne);
--- a/bench/flow_driver.cc
+++ b/bench/flow_driver.cc
@@ -110,14 +110,14 @@
   }
 
   void Apply(const flow::command_body& aBody,
-             const flow::leading_port::on_applied& aThen)
+             const flow::leader_port::on_applied& aThen)
   {
     const auto outcome = mState.Apply({ Instant().mWallMs, aBody });
-    for (const job_id& id : outcome.mEnded) {
+    for (const job_id& id : outcome.mEndedJobs) {
       mEndedAt[id] = mNow;
     }
     if (mLead) {
-      mLead->Applied(aBody, outcome);
+      mLead->OnApplied(aBody, outcome);
     }
     if (aThen) {
       aThen(outcome);
@@ -138,7 +138,7 @@
     }
     Apply(flow::put_table{ table, "source" }, {});
     Lead();
-    for (const flow::worker_facts& facts : mLoad.mWorkers) {
+    for (const flow::worker_description& facts : mLoad.mWorkers) {
       life& made = mWorkers[facts.mId];
       made.mWorker = std::make_unique<simulated_worker>(
         facts, mLoad.mSeed, mLoad.mScene.mSlowShare);
@@ -167,10 +167,10 @@
 
   void Lead()
   {
-    flow::leading_port port;
+    flow::leader_port port;
     const std::uint64_t term = mTerm;
     port.mPropose = [this, term](flow::command_body aBody,
-                                 flow::leading_port::on_applied aThen) {
+                                 flow::leader_port::on_applied aThen) {
       At(mNow + kCommit,
          [this, term, body = std::move(aBody), then = std::move(aThen)]() {
            if (term == mTerm) {
@@ -181,9 +181,9 @@
     };
     port.mAnswer = [](flow::call_number, const flow::flow_answer&) {};
     port.mFail = [](flow::call_number, const error&) {};
-    port.mNote = [this](const flow::decision& aNote) { Note(aNote); };
+    port.mLogDecision = [this](const flow::decision& aNote) { Note(aNote); };
     port.mMembers = [this]() { return Advisors(); };
-    mLead = std::make_unique<flow::leading>(
+    mLead = std::make_unique<flow::leader_core>(
       mState, mOptions, std::move(port), mTerm, Instant(), mNow);
   }
 
@@ -214,7 +214,7 @@
   {
     if (mLead) {
       mLead->SetTime(Instant());
-      mLead->Ask(++mLastCall, aRequest);
+      mLead->HandleRequest(++mLastCall, aRequest);
       return;
     }
     constexpr milliseconds kAgain{ 300 };
@@ -238,9 +238,9 @@
     if (aLife.mGone) {
       return;
     }
-    flow::worker_beat beat;
-    beat.mFacts = aLife.mWorker->Facts();
-    beat.mNumber = ++aLife.mBeat;
+    flow::worker_heartbeat beat;
+    beat.mDescription = aLife.mWorker->Facts();
+    beat.mSequence = ++aLife.mBeat;
     beat.mClockMs = Instant().mWallMs;
     Ask(beat);
     At(mNow + kBeat, [this, &aLife]() { Beat(aLife); });
@@ -262,22 +262,22 @@
     }
     const double before = ProcessorMs();
     mLead->SetTime(Instant());
-    mLead->Decide();
+    mLead->PlanIfDue();
     mOutcome.mDecisionMs += ProcessorMs() - before;
     for (flow::worker_order& order : mLead->TakeOrders()) {
       At(mNow + kWay, [this, sent = std::move(order)]() { Carry(sent); });
     }
-    for (flow::advice_order& question : mLead->TakeQuestions()) {
+    for (flow::advice_call& question : mLead->TakeAdviceCalls()) {
       AskPolicy(question);
     }
   }
 
-  void AskPolicy(const flow::advice_order& aQuestion)
+  void AskPolicy(const flow::advice_call& aQuestion)
   {
     const flow::step_ref& step = aQuestion.mRequest.mStep;
     const flow::job_record* job = mState.FindJob(step.mJob);
     const std::size_t kind = mJobs.at(step.mJob)->mKind;
-    const flow::advice_terms& terms = *mState.QueueOf(*job).mAdvice;
+    const flow::advice_timing& terms = *mState.QueueOf(*job).mAdvice;
     flow::approvals approved;
     for (const worker_id& worker : aQuestion.mRequest.mWorkers) {
       const std::string where =
@@ -296,7 +296,7 @@
        [this, term = mTerm, id = aQuestion.mId, approved]() {
          if (mLead && term == mTerm) {
            mLead->SetTime(Instant());
-           mLead->AdviceAnswered(id, approved);
+           mLead->OnAdviceAnswer(id, approved);
          }
        });
   }
@@ -307,14 +307,14 @@
        [this, term = mTerm, aOrder, answer = std::move(aAnswer)]() {
          if (mLead && term == mTerm) {
            mLead->SetTime(Instant());
-           mLead->OrderAnswered(aOrder, answer);
+           mLead->OnOrderAnswer(aOrder, answer);
          }
        });
   }
 
   void Carry(const flow::worker_order& aOrder)
   {
-    life& there = mWorkers.at(aOrder.mLife);
+    life& there = mWorkers.at(aOrder.mWorkerId);
     if (there.mGone) {
       Answer(aOrder.mId, {});
       return;
@@ -334,7 +334,7 @@
                    worker.Stop(aStop, mNow);
                    Answer(aOrder.mId, Plain());
                  },
-                 [&](const flow::hold_order& aLook) {
+                 [&](const flow::poll_order& aLook) {
                    worker.Acknowledge(aLook.mCursor);
                    Look(there, aOrder.mId, milliseconds(aLook.mWaitMs));
                  },
@@ -394,7 +394,7 @@
     return { job.mWorkMs[aTask.mStep][aTask.mIndex],
              step.Booked(),
              step.mCheckpoints,
-             step.mLasting,
+             step.mLongRunning,
              mLoad.mScene.mKinds[job.mKind].mFails };
   }
 
@@ -482,7 +482,7 @@
   const flow_load& mLoad;
   flow::flow_options mOptions;
   flow::flow_state mState;
-  std::unique_ptr<flow::leading> mLead;
+  std::unique_ptr<flow::leader_core> mLead;
   std::uint64_t mTerm = 1;
   time_point mNow{};
   std::priority_queue<event> mEvents;
--- a/bench/flow_scenario.cc
+++ b/bench/flow_scenario.cc
@@ -21,7 +21,7 @@
       int aPriority,
       double aStretch,
       std::int64_t aTargetMs,
-      flow::advice_terms aAdvice)
+      flow::advice_timing aAdvice)
 {
   flow::queue_row row;
   row.mName = aName;
@@ -31,7 +31,7 @@
   row.mTimeoutMs = 3'000;
   row.mTargetMs = aTargetMs;
   row.mPriority = aPriority;
-  row.mMostAttempts = 3;
+  row.mMaxAttempts = 3;
   row.mStretch = aStretch;
   row.mAdvice = aAdvice;
   return row;
@@ -45,7 +45,7 @@
   double mAdvice = 1; // what the policy service takes
 };
 
-flow::advice_terms
+flow::advice_timing
 Terms(double aBaseMs, const scene_scale& aScale)
 {
   constexpr double kWorkersForBase = 70;
@@ -184,7 +184,7 @@
   void AddWorkers(const worker_kind& aKind)
   {
     for (std::size_t at = 0; at < aKind.mCount; ++at) {
-      flow::worker_facts facts;
+      flow::worker_description facts;
       facts.mId =
         worker_id(aKind.mService + "-" + std::to_string(mLoad.mWorkers.size()));
       facts.mAddress = facts.mId.Value() + ":80";
@@ -247,7 +247,7 @@
     }
     spec.mCheckpoints = mRandom.Fraction() < aKind.mSaves;
     spec.mGang = aKind.mGang;
-    spec.mLasting = aKind.mLasting;
+    spec.mLongRunning = aKind.mLasting;
     if (aStep > 0) {
       spec.mDependsOn = { aStep - 1 };
     }
@@ -276,7 +276,7 @@
 LargestScene()
 {
   job_kind urgent = Urgent({});
-  urgent.mQueue.mAdvice = flow::advice_terms{ 30, 0.43, 2'500 };
+  urgent.mQueue.mAdvice = flow::advice_timing{ 30, 0.43, 2'500 };
   urgent.mPerSecond = 67.5;
   urgent.mMeanSteps = 1.6;
   urgent.mMeanWidth = 13;
@@ -284,7 +284,7 @@
   urgent.mMilliProcessors = 7'000;
   urgent.mMemoryMb = 14'000;
   job_kind wide = Wide({});
-  wide.mQueue.mAdvice = flow::advice_terms{ 572, 8.2, 2'500 };
+  wide.mQueue.mAdvice = flow::advice_timing{ 572, 8.2, 2'500 };
   wide.mPerSecond = 7;
   wide.mMeanWidth = 26;
   wide.mMeanMs = 6'000;
@@ -292,7 +292,7 @@
   wide.mMemoryMb = 19'000;
   wide.mApproved = 0.35;
   job_kind lasting = Lasting({});
-  lasting.mQueue.mAdvice = flow::advice_terms{ 416, 6, 2'500 };
+  lasting.mQueue.mAdvice = flow::advice_timing{ 416, 6, 2'500 };
   lasting.mPerSecond = 0.5;
   lasting.mMeanWidth = 40;
   lasting.mMilliProcessors = 9'000;
--- a/bench/flow_scenario.h
+++ b/bench/flow_scenario.h
@@ -83,7 +83,7 @@
 {
   flow_scene mScene;
   std::uint64_t mSeed = 0;
-  std::vector<flow::worker_facts> mWorkers;
+  std::vector<flow::worker_description> mWorkers;
   std::vector<arrival> mArrivals; // by time
 };
 
--- a/bench/flow_worker.cc
+++ b/bench/flow_worker.cc
@@ -39,7 +39,7 @@
 
 } // namespace
 
-simulated_worker::simulated_worker(const flow::worker_facts& aFacts,
+simulated_worker::simulated_worker(const flow::worker_description& aFacts,
                                    std::uint64_t aSeed,
                                    double aSlowShare)
   : mFacts(aFacts)
--- a/bench/flow_worker.h
+++ b/bench/flow_worker.h
@@ -32,7 +32,7 @@
 class simulated_worker
 {
 public:
-  simulated_worker(const flow::worker_facts& aFacts,
+  simulated_worker(const flow::worker_description& aFacts,
                    std::uint64_t aSeed,
                    double aSlowShare);
 
@@ -48,7 +48,7 @@
   [[nodiscard]] bool HasEnds() const { return !mEnded.empty(); }
   // When something ends next; none, if nothing will.
   [[nodiscard]] std::optional<time_point> NextEnd() const;
-  [[nodiscard]] const flow::worker_facts& Facts() const { return mFacts; }
+  [[nodiscard]] const flow::worker_description& Facts() const { return mFacts; }
   [[nodiscard]] double ThrownAwayMs() const { return mThrownAwayMs; }
   [[nodiscard]] std::size_t OverBooked() const { return mOverBooked; }
 
@@ -65,7 +65,7 @@
   [[nodiscard]] double DoneMs(const live_run& aRun, time_point aNow) const;
   void End(const flow::run_ref& aRun, const live_run& aLive, time_point aNow);
 
-  flow::worker_facts mFacts;
+  flow::worker_description mFacts;
   std::uint64_t mSeed;
   bool mSlows;
   cell::resources mFree;
--- a/oriolewalk/flow/advice_cache.cc
+++ b/oriolewalk/flow/advice_cache.cc
@@ -18,7 +18,7 @@
 } // namespace
 
 void
-advice_book::Answered(
+advice_cache::OnAnswer(
   const step_ref& aStep,
   std::string_view aQueue,
   const std::vector<std::pair<worker_number, worker_id>>& aAsked,
@@ -50,9 +50,9 @@
 }
 
 verdict
-advice_book::On(const step_ref& aStep,
-                worker_number aWorker,
-                time_point aNow) const
+advice_cache::VerdictFor(const step_ref& aStep,
+                         worker_number aWorker,
+                         time_point aNow) const
 {
   const auto step = mTickets.find(aStep);
   if (step == mTickets.end()) {
@@ -70,17 +70,17 @@
 }
 
 duration
-advice_book::ValidFor(const step_ref& aStep,
-                      worker_number aWorker,
-                      time_point aNow) const
+advice_cache::RemainingValidity(const step_ref& aStep,
+                                worker_number aWorker,
+                                time_point aNow) const
 {
-  return On(aStep, aWorker, aNow) == verdict::Approved
+  return VerdictFor(aStep, aWorker, aNow) == verdict::Approved
            ? mTickets.at(aStep).at(aWorker).mValidUntil - aNow
            : duration::zero();
 }
 
 std::vector<worker_number>
-advice_book::ApprovedFor(const step_ref& aStep, time_point aNow) const
+advice_cache::ApprovedWorkers(const step_ref& aStep, time_point aNow) const
 {
   std::vector<worker_number> approved;
   const auto step = mTickets.find(aStep);
@@ -96,18 +96,18 @@
 }
 
 std::string
-advice_book::TicketFor(const step_ref& aStep,
-                       worker_number aWorker,
-                       time_point aNow) const
+advice_cache::TicketFor(const step_ref& aStep,
+                        worker_number aWorker,
+                        time_point aNow) const
 {
-  if (On(aStep, aWorker, aNow) != verdict::Approved) {
+  if (VerdictFor(aStep, aWorker, aNow) != verdict::Approved) {
     return {};
   }
   return mTickets.at(aStep).at(aWorker).mText;
 }
 
 void
-advice_book::Expire(const step_ref& aStep, worker_number aWorker)
+advice_cache::Expire(const step_ref& aStep, worker_number aWorker)
 {
   const auto step = mTickets.find(aStep);
   if (step != mTickets.end() && step->second.contains(aWorker)) {
@@ -116,15 +116,15 @@
 }
 
 void
-advice_book::Forget(const job_id& aJob)
+advice_cache::Forget(const job_id& aJob)
 {
-  EraseFrom(mTickets, { aJob, 0, 0 }, [&](const step_ref& aStep) {
+  EraseWhile(mTickets, { aJob, 0, 0 }, [&](const step_ref& aStep) {
     return aStep.mJob == aJob;
   });
 }
 
 double
-advice_book::ApprovedShare(std::string_view aQueue) const
+advice_cache::ApprovalRate(std::string_view aQueue) const
 {
   const auto found = mShares.find(aQueue);
   return found == mShares.end() ? kFirstShare : found->second;
--- a/oriolewalk/flow/advice_cache.h
+++ b/oriolewalk/flow/advice_cache.h
@@ -57,31 +57,32 @@
   Expired,  // approved, but its ticket has run out
 };
 
-class advice_book
+class advice_cache
 {
 public:
   // aQueue names what the share of approvals is learnt by.
-  void Answered(const step_ref& aStep,
+  void OnAnswer(const step_ref& aStep,
                 std::string_view aQueue,
                 const std::vector<std::pair<worker_number, worker_id>>& aAsked,
                 const std::vector<approval>& aApproved,
                 time_point aValidUntil);
   // Whether there is any verdict on the step.
-  [[nodiscard]] bool Knows(const step_ref& aStep) const
+  [[nodiscard]] bool HasVerdict(const step_ref& aStep) const
   {
     return mTickets.contains(aStep);
   }
-  [[nodiscard]] verdict On(const step_ref& aStep,
-                           worker_number aWorker,
-                           time_point aNow) const;
+  [[nodiscard]] verdict VerdictFor(const step_ref& aStep,
+                                   worker_number aWorker,
+                                   time_point aNow) const;
   // For how long the ticket holds on; zero, if there is none.
-  [[nodiscard]] duration ValidFor(const step_ref& aStep,
-                                  worker_number aWorker,
-                                  time_point aNow) const;
+  [[nodiscard]] duration RemainingValidity(const step_ref& aStep,
+                                           worker_number aWorker,
+                                           time_point aNow) const;
   // Those with a ticket that is valid at aNow; with time_point::min() also
   // those whose ticket has run out. Linear in the workers asked about.
-  [[nodiscard]] std::vector<worker_number> ApprovedFor(const step_ref& aStep,
-                                                       time_point aNow) const;
+  [[nodiscard]] std::vector<worker_number> ApprovedWorkers(
+    const step_ref& aStep,
+    time_point aNow) const;
   // Empty if there is no valid one.
   [[nodiscard]] std::string TicketFor(const step_ref& aStep,
                                       worker_number aWorker,
@@ -90,7 +91,7 @@
   void Expire(const step_ref& aStep, worker_number aWorker);
   void Forget(const job_id& aJob);
   // The share of workers that the policy approves, in (0, 1].
-  [[nodiscard]] double ApprovedShare(std::string_view aQueue) const;
+  [[nodiscard]] double ApprovalRate(std::string_view aQueue) const;
 
 private:
   struct ticket
--- a/oriolewalk/flow/advice_queries.cc
+++ b/oriolewalk/flow/advice_queries.cc
@@ -62,8 +62,8 @@
 {
   const std::int64_t fit = aStep.mSpec->Booked().TimesIn(aRoom);
   std::int64_t tasks = std::max<std::int64_t>(1, fit / 2);
-  if (aStep.mSpec->mMostPerWorker > 0) {
-    tasks = std::min<std::int64_t>(tasks, aStep.mSpec->mMostPerWorker);
+  if (aStep.mSpec->mMaxPerWorker > 0) {
+    tasks = std::min<std::int64_t>(tasks, aStep.mSpec->mMaxPerWorker);
   }
   return static_cast<double>(tasks);
 }
@@ -73,8 +73,8 @@
 TasksIfEmpty(const open_step& aStep, const plan_worker& aWorker)
 {
   const std::int64_t fit =
-    aStep.mSpec->Booked().TimesIn(aWorker.mFacts->mCapacity);
-  const std::uint32_t most = aStep.mSpec->mMostPerWorker;
+    aStep.mSpec->Booked().TimesIn(aWorker.mDescription->mCapacity);
+  const std::uint32_t most = aStep.mSpec->mMaxPerWorker;
   return static_cast<double>(most > 0 ? std::min<std::int64_t>(fit, most)
                                       : fit);
 }
@@ -83,9 +83,9 @@
 {
 public:
   nomination(const open_step& aStep,
-             const ask_need& aNeed,
+             const query_need& aNeed,
              std::span<plan_worker* const> aWorkers,
-             const advice_book& aAdvice,
+             const advice_cache& aAdvice,
              const plan_policy& aPolicy,
              time_point aNow)
     : mStep(aStep)
@@ -94,7 +94,7 @@
     , mAdvice(aAdvice)
   {
     for (const plan_worker* worker : aWorkers) {
-      if (CanHold(aStep, *worker)) {
+      if (FitsWhenEmpty(aStep, *worker)) {
         Consider(*worker, aPolicy, aNow);
       }
     }
@@ -123,8 +123,8 @@
                 const plan_policy& aPolicy,
                 time_point aNow)
   {
-    const verdict known = mAdvice.On(mStep.mRef, aWorker.mNumber, aNow);
-    const bool held = mNeed.mHeld.contains(aWorker.mNumber);
+    const verdict known = mAdvice.VerdictFor(mStep.mRef, aWorker.mNumber, aNow);
+    const bool held = mNeed.mReserved.contains(aWorker.mNumber);
     const bool room = FitsNow(mStep, aWorker) || held;
     if (known == verdict::Refused) {
       return;
@@ -132,16 +132,17 @@
     if (known != verdict::Unknown) {
       mKnown += TasksIfEmpty(mStep, aWorker);
     }
-    const bool due = known == verdict::Expired ||
-                     (known == verdict::Approved && held &&
-                      mAdvice.ValidFor(mStep.mRef, aWorker.mNumber, aNow) <
-                        AdviceTime(mTerms, 1) + kRenewalWay);
+    const bool due =
+      known == verdict::Expired ||
+      (known == verdict::Approved && held &&
+       mAdvice.RemainingValidity(mStep.mRef, aWorker.mNumber, aNow) <
+         AdviceTime(mTerms, 1) + kRenewalWay);
     if (due && room) {
       Add(use::Renewal, aWorker, aPolicy);
     } else if (known != verdict::Unknown) {
       Add(use::Along, aWorker, aPolicy);
     } else if (known == verdict::Unknown && !aWorker.mAvoided &&
-               (room || aPolicy.mAsksAhead)) {
+               (room || aPolicy.mQueriesAhead)) {
       Add(room ? use::Room : use::Ahead, aWorker, aPolicy);
     }
   }
@@ -206,17 +207,18 @@
     if (aOne.mUse == use::Along) {
       return aNamed > 0;
     }
-    return IsUnknown(aOne) && (mNeed.mPlentiful || mStep.mSpec->mGang ||
-                               mKnown < kKnownForTask * Tasks());
+    return IsUnknown(aOne) &&
+           (mNeed.mHasSurplusAdvisors || mStep.mSpec->mGang ||
+            mKnown < kKnownForTask * Tasks());
   }
 
   void Count(const nominee& aOne)
   {
     const plan_worker& worker = *aOne.mWorker;
-    const double share = mAdvice.ApprovedShare(mStep.mQueue->mName);
+    const double share = mAdvice.ApprovalRate(mStep.mQueue->mName);
     if (HasRoom(aOne)) {
       mGood += (aOne.mUse == use::Renewal ? 1 : share) *
-               TasksAt(mStep, worker.mFree - worker.mHeld);
+               TasksAt(mStep, worker.mFree - worker.mReserved);
     }
     if (IsUnknown(aOne)) {
       mKnown += share * TasksIfEmpty(mStep, worker);
@@ -226,7 +228,7 @@
   void Add(use aUse, const plan_worker& aWorker, const plan_policy& aPolicy)
   {
     mNominees.push_back(
-      { aUse, PlaceScore(mStep, aWorker, aPolicy), &aWorker });
+      { aUse, PlacementScore(mStep, aWorker, aPolicy), &aWorker });
   }
 
   // Workers that the policy service looks at in this time.
@@ -236,9 +238,9 @@
   }
 
   const open_step& mStep;
-  const ask_need& mNeed;
-  const advice_terms& mTerms;
-  const advice_book& mAdvice;
+  const query_need& mNeed;
+  const advice_timing& mTerms;
+  const advice_cache& mAdvice;
   std::vector<nominee> mNominees;
   double mGood = 0; // tasks that those with room are expected to take
   std::size_t mBeyond = 0;
@@ -248,19 +250,19 @@
 } // namespace
 
 milliseconds
-AdviceTime(const advice_terms& aTerms, std::size_t aNamed)
+AdviceTime(const advice_timing& aTerms, std::size_t aNamed)
 {
   return milliseconds(static_cast<std::int64_t>(std::ceil(
     aTerms.mBaseMs + aTerms.mPerWorkerMs * static_cast<double>(aNamed))));
 }
 
 std::vector<worker_number>
-WorkersToName(const open_step& aStep,
-              const ask_need& aNeed,
-              std::span<plan_worker* const> aWorkers,
-              const advice_book& aAdvice,
-              const plan_policy& aPolicy,
-              time_point aNow)
+WorkersToQuery(const open_step& aStep,
+               const query_need& aNeed,
+               std::span<plan_worker* const> aWorkers,
+               const advice_cache& aAdvice,
+               const plan_policy& aPolicy,
+               time_point aNow)
 {
   return nomination(aStep, aNeed, aWorkers, aAdvice, aPolicy, aNow).Choose();
 }
--- a/oriolewalk/flow/advice_queries.h
+++ b/oriolewalk/flow/advice_queries.h
@@ -20,7 +20,7 @@
 
 namespace oriolewalk::flow {
 
-struct question
+struct advice_query
 {
   step_ref mStep;
   std::vector<worker_number> mWorkers;
@@ -28,23 +28,23 @@
 
 // What a question of aNamed workers takes at the policy service.
 milliseconds
-AdviceTime(const advice_terms& aTerms, std::size_t aNamed);
+AdviceTime(const advice_timing& aTerms, std::size_t aNamed);
 
 // What a question is wanted for.
-struct ask_need
+struct query_need
 {
-  std::size_t mTasks = 0;        // that wait for a place
-  std::set<worker_number> mHeld; // where room is kept for them
-  bool mPlentiful = false;       // nobody else needs the advisors
+  std::size_t mTasks = 0;            // that wait for a place
+  std::set<worker_number> mReserved; // where room is kept for them
+  bool mHasSurplusAdvisors = false;  // nobody else needs the advisors
 };
 
 // Empty: there is nothing worth asking.
 std::vector<worker_number>
-WorkersToName(const open_step& aStep,
-              const ask_need& aNeed,
-              std::span<plan_worker* const> aWorkers,
-              const advice_book& aAdvice,
-              const plan_policy& aPolicy,
-              time_point aNow);
+WorkersToQuery(const open_step& aStep,
+               const query_need& aNeed,
+               std::span<plan_worker* const> aWorkers,
+               const advice_cache& aAdvice,
+               const plan_policy& aPolicy,
+               time_point aNow);
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/advisors.cc
+++ b/oriolewalk/flow/advisors.cc
@@ -24,13 +24,13 @@
 bool
 IsFirst(const open_step& aStep)
 {
-  return flow::IsFirst(*aStep.mQueue, *aStep.mSpec);
+  return flow::IsTopPriority(*aStep.mQueue, *aStep.mSpec);
 }
 
 } // namespace
 
 std::size_t
-recent_peak::Note(std::size_t aCount, time_point aNow)
+recent_peak::Record(std::size_t aCount, time_point aNow)
 {
   if (aNow >= mSince + kSpan) {
     mLast = aNow >= mSince + 2 * kSpan ? 0 : mPeak;
@@ -43,12 +43,12 @@
 
 advisor_pool::advisor_pool(const advisor_load& aLoad,
                            std::span<const open_step> aSteps,
-                           const advice_book& aAdvice,
+                           const advice_cache& aAdvice,
                            const std::set<step_ref>& aAsking)
   : mFree(aLoad.mFree)
   , mTotal(aLoad.mTotal)
-  , mKept(
-      std::min(aLoad.mTotal / kMostKept, aLoad.mFirstPeak + kKeptBeyondPeak))
+  , mKept(std::min(aLoad.mTotal / kMostKept,
+                   aLoad.mTopPriorityPeak + kKeptBeyondPeak))
 {
   for (const open_step& step : aSteps) {
     if (IsFirst(step) || !step.mQueue->mAdvice) {
@@ -60,7 +60,7 @@
       queue->second.mUsed = used->second;
     }
     queue->second.mWants +=
-      aAsking.contains(step.mRef) || aAdvice.Knows(step.mRef) ? 0 : 1;
+      aAsking.contains(step.mRef) || aAdvice.HasVerdict(step.mRef) ? 0 : 1;
   }
   const auto active = static_cast<std::size_t>(
     std::ranges::count_if(mParts, [](const auto& aPart) {
@@ -78,7 +78,7 @@
 }
 
 bool
-advisor_pool::MayAsk(const open_step& aStep) const
+advisor_pool::CanQuery(const open_step& aStep) const
 {
   if (IsFirst(aStep)) {
     return mFree > 0;
@@ -96,7 +96,7 @@
 }
 
 void
-advisor_pool::Asked(const open_step& aStep)
+advisor_pool::OnQuery(const open_step& aStep)
 {
   --mFree;
   if (const auto queue = mParts.find(aStep.mQueue->mName);
@@ -107,7 +107,7 @@
 }
 
 bool
-advisor_pool::IsPlentiful() const
+advisor_pool::HasSurplus() const
 {
   return mFree * kPlentiful >= mTotal;
 }
--- a/oriolewalk/flow/advisors.h
+++ b/oriolewalk/flow/advisors.h
@@ -32,14 +32,14 @@
   // Of those, by the queue that it is for.
   std::map<std::string, std::size_t, std::less<>> mUsed;
   // The most that the first queues had at a time of late.
-  std::size_t mFirstPeak = 0;
+  std::size_t mTopPriorityPeak = 0;
 };
 
 // The highest of the last counts, forgotten after kSpan to 2 kSpan.
 class recent_peak
 {
 public:
-  std::size_t Note(std::size_t aCount, time_point aNow);
+  std::size_t Record(std::size_t aCount, time_point aNow);
 
 private:
   // Two waves of arrivals.
@@ -56,13 +56,13 @@
   // aAsking: steps about which a question is under way.
   advisor_pool(const advisor_load& aLoad,
                std::span<const open_step> aSteps,
-               const advice_book& aAdvice,
+               const advice_cache& aAdvice,
                const std::set<step_ref>& aAsking);
 
-  [[nodiscard]] bool MayAsk(const open_step& aStep) const;
-  void Asked(const open_step& aStep);
+  [[nodiscard]] bool CanQuery(const open_step& aStep) const;
+  void OnQuery(const open_step& aStep);
   // More advisors than work for them: questions may be put ahead of time.
-  [[nodiscard]] bool IsPlentiful() const;
+  [[nodiscard]] bool HasSurplus() const;
 
 private:
   // A queue's part in what is not kept for the first queues.
--- a/oriolewalk/flow/command.h
+++ b/oriolewalk/flow/command.h
@@ -131,13 +131,13 @@
 
 struct register_worker
 {
-  worker_facts mFacts;
+  worker_description mDescription;
   bool mDraining = false;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mFacts, mDraining);
+    aArchive(mDescription, mDraining);
   }
 };
 
@@ -179,7 +179,7 @@
 
 // How far runs had come when they were last seen. Proposed just before they are
 // given up with their worker, so that their tasks go on from there.
-struct keep_checkpoints
+struct save_checkpoints
 {
   std::vector<run_checkpoint> mRuns;
 
@@ -192,7 +192,7 @@
 
 // Runs that have surely lapsed at a worker that can't be reached. It may have
 // crashed under them: that counts once it is known.
-struct lose_runs
+struct mark_runs_lost
 {
   worker_number mWorker = 0;
   std::vector<run_ref> mRuns;
@@ -205,7 +205,7 @@
 };
 
 // The worker that couldn't be reached answers, in the same life.
-struct note_return
+struct record_worker_return
 {
   worker_number mWorker = 0;
 
@@ -217,16 +217,16 @@
 };
 
 // This life of the worker is over, and it had not said that it leaves.
-struct note_crash
+struct record_worker_crash
 {
   worker_number mWorker = 0;
   std::vector<run_ref> mSuspects; // of what ran there: had just started
-  std::vector<run_ref> mProven;   // has run for so long that it isn't the cause
+  std::vector<run_ref> mCleared;  // has run for so long that it isn't the cause
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mWorker, mSuspects, mProven);
+    aArchive(mWorker, mSuspects, mCleared);
   }
 };
 
@@ -240,10 +240,10 @@
                                   register_worker,
                                   remove_worker,
                                   forget_jobs,
-                                  keep_checkpoints,
-                                  lose_runs,
-                                  note_return,
-                                  note_crash>;
+                                  save_checkpoints,
+                                  mark_runs_lost,
+                                  record_worker_return,
+                                  record_worker_crash>;
 
 // An entry of the log. The wall time is the proposer's; all replicas use it.
 struct command
--- a/oriolewalk/flow/crash_tracker.cc
+++ b/oriolewalk/flow/crash_tracker.cc
@@ -23,16 +23,16 @@
 suspicion
 crash_record::Suspicion() const
 {
-  if (mSuspected >= kPrimeSuspected || mCrashes >= kPrimeCrashes) {
-    return suspicion::Prime;
+  if (mSuspectedCrashes >= kPrimeSuspected || mCrashes >= kPrimeCrashes) {
+    return suspicion::High;
   }
-  return mCrashes > 0 ? suspicion::Some : suspicion::None;
+  return mCrashes > 0 ? suspicion::Low : suspicion::None;
 }
 
 std::vector<task_ref>
-crash_book::Crashed(worker_number aWorker,
-                    const std::set<run_ref>& aPlaced,
-                    const note_crash& aNote)
+crash_tracker::OnCrash(worker_number aWorker,
+                       const std::set<run_ref>& aPlaced,
+                       const record_worker_crash& aNote)
 {
   life_record& life = mLives[aWorker];
   if (life.mCrashed) {
@@ -44,28 +44,29 @@
   life.mLost.clear();
   std::vector<task_ref> counted;
   for (const run_ref& run : runs) {
-    if (std::ranges::count(aNote.mProven, run) > 0) {
+    if (std::ranges::count(aNote.mCleared, run) > 0) {
       mRecords.erase(run.mTask);
       continue;
     }
     crash_record& record = mRecords[run.mTask];
     ++record.mCrashes;
-    record.mSuspected += std::ranges::count(aNote.mSuspects, run) > 0 ? 1 : 0;
+    record.mSuspectedCrashes +=
+      std::ranges::count(aNote.mSuspects, run) > 0 ? 1 : 0;
     counted.push_back(run.mTask);
   }
   return counted;
 }
 
 void
-crash_book::Lost(worker_number aWorker, std::span<const run_ref> aRuns)
+crash_tracker::OnRunsLost(worker_number aWorker, std::span<const run_ref> aRuns)
 {
-  if (!IsOver(aWorker)) { // else they were counted with the crash
+  if (!HasCrashed(aWorker)) { // else they were counted with the crash
     mLives[aWorker].mLost.insert(aRuns.begin(), aRuns.end());
   }
 }
 
 std::vector<task_ref>
-crash_book::Vanished(worker_number aWorker)
+crash_tracker::OnWorkerRemoved(worker_number aWorker)
 {
   std::vector<task_ref> counted;
   const auto life = mLives.extract(aWorker);
@@ -73,14 +74,14 @@
     return counted;
   }
   for (const run_ref& run : life.mapped().mLost) {
-    ++mRecords[run.mTask].mUnknown;
+    ++mRecords[run.mTask].mUnexplainedLosses;
     counted.push_back(run.mTask);
   }
   return counted;
 }
 
 void
-crash_book::Returned(worker_number aWorker)
+crash_tracker::OnWorkerReturn(worker_number aWorker)
 {
   const auto found = mLives.find(aWorker);
   if (found != mLives.end() && !found->second.mCrashed) {
@@ -89,53 +90,53 @@
 }
 
 void
-crash_book::ForgetJob(const job_id& aJob)
+crash_tracker::ForgetJob(const job_id& aJob)
 {
-  EraseFrom(mRecords, { aJob, 0, 0, 0 }, [&](const task_ref& aTask) {
+  EraseWhile(mRecords, { aJob, 0, 0, 0 }, [&](const task_ref& aTask) {
     return aTask.mJob == aJob;
   });
 }
 
 const crash_record*
-crash_book::Find(const task_ref& aTask) const
+crash_tracker::Find(const task_ref& aTask) const
 {
   const auto found = mRecords.find(aTask);
   return found == mRecords.end() ? nullptr : &found->second;
 }
 
 suspicion
-crash_book::SuspicionOf(const task_ref& aTask) const
+crash_tracker::SuspicionOf(const task_ref& aTask) const
 {
   const crash_record* record = Find(aTask);
   return record == nullptr ? suspicion::None : record->Suspicion();
 }
 
 bool
-crash_book::IsGivenUp(const task_ref& aTask) const
+crash_tracker::ShouldAbandon(const task_ref& aTask) const
 {
   const crash_record* record = Find(aTask);
   return record != nullptr &&
-         (record->mSuspected >= kMostSuspected ||
+         (record->mSuspectedCrashes >= kMostSuspected ||
           (record->mCrashes >= kLeastProven &&
-           record->mCrashes + record->mUnknown >= kMostCrashes));
+           record->mCrashes + record->mUnexplainedLosses >= kMostCrashes));
 }
 
 bool
-crash_book::IsOver(worker_number aWorker) const
+crash_tracker::HasCrashed(worker_number aWorker) const
 {
   const auto found = mLives.find(aWorker);
   return found != mLives.end() && found->second.mCrashed;
 }
 
 bool
-crash_book::HasLost(worker_number aWorker) const
+crash_tracker::HasLostRuns(worker_number aWorker) const
 {
   const auto found = mLives.find(aWorker);
   return found != mLives.end() && !found->second.mLost.empty();
 }
 
 std::map<task_ref, std::uint32_t>
-crash_book::Losses() const
+crash_tracker::UnresolvedLosses() const
 {
   std::map<task_ref, std::uint32_t> losses;
   for (const auto& [worker, life] : mLives) {
--- a/oriolewalk/flow/crash_tracker.h
+++ b/oriolewalk/flow/crash_tracker.h
@@ -31,53 +31,53 @@
 enum class suspicion : std::uint8_t
 {
   None,
-  Some,
-  Prime, // it is started alone, for proof
+  Low,
+  High, // it is started alone, for proof
 };
 
 struct crash_record
 {
   std::uint32_t mCrashes = 0; // lives of workers that ended under the task
   // Of those, in which it had just started: one of few that may be the cause.
-  std::uint32_t mSuspected = 0;
+  std::uint32_t mSuspectedCrashes = 0;
   // Workers that it was lost with and that were never heard of again.
-  std::uint32_t mUnknown = 0;
+  std::uint32_t mUnexplainedLosses = 0;
 
   [[nodiscard]] suspicion Suspicion() const;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mCrashes, mSuspected, mUnknown);
+    aArchive(mCrashes, mSuspectedCrashes, mUnexplainedLosses);
   }
 };
 
-class crash_book
+class crash_tracker
 {
 public:
   // The worker's life is over and was not ended on purpose. aPlaced: what ran
   // there. Returns the tasks that were counted, none if the life was before.
-  std::vector<task_ref> Crashed(worker_number aWorker,
+  std::vector<task_ref> OnCrash(worker_number aWorker,
                                 const std::set<run_ref>& aPlaced,
-                                const note_crash& aNote);
+                                const record_worker_crash& aNote);
   // Runs there were given up since the worker couldn't be reached.
-  void Lost(worker_number aWorker, std::span<const run_ref> aRuns);
+  void OnRunsLost(worker_number aWorker, std::span<const run_ref> aRuns);
   // The worker was only silent: what was lost there is no crash's.
-  void Returned(worker_number aWorker);
+  void OnWorkerReturn(worker_number aWorker);
   // The worker was never heard of again. Returns the tasks that were lost with
   // it.
-  std::vector<task_ref> Vanished(worker_number aWorker);
+  std::vector<task_ref> OnWorkerRemoved(worker_number aWorker);
   void ForgetWorker(worker_number aWorker) { mLives.erase(aWorker); }
   void ForgetJob(const job_id& aJob);
 
   // Null: it was at no worker that crashed.
   [[nodiscard]] const crash_record* Find(const task_ref& aTask) const;
   [[nodiscard]] suspicion SuspicionOf(const task_ref& aTask) const;
-  [[nodiscard]] bool IsGivenUp(const task_ref& aTask) const;
-  [[nodiscard]] bool IsOver(worker_number aWorker) const;
-  [[nodiscard]] bool HasLost(worker_number aWorker) const;
+  [[nodiscard]] bool ShouldAbandon(const task_ref& aTask) const;
+  [[nodiscard]] bool HasCrashed(worker_number aWorker) const;
+  [[nodiscard]] bool HasLostRuns(worker_number aWorker) const;
   // By task, at how many workers it was lost of which nothing is known yet.
-  [[nodiscard]] std::map<task_ref, std::uint32_t> Losses() const;
+  [[nodiscard]] std::map<task_ref, std::uint32_t> UnresolvedLosses() const;
   [[nodiscard]] const std::map<task_ref, crash_record>& Records() const
   {
     return mRecords;
--- a/oriolewalk/flow/erase_while.h
+++ b/oriolewalk/flow/erase_while.h
@@ -15,7 +15,7 @@
 // Cost: logarithmic, and what is erased.
 template<class Map, class IsOne>
 void
-EraseFrom(Map& aMap, const typename Map::key_type& aFirst, IsOne aIsOne)
+EraseWhile(Map& aMap, const typename Map::key_type& aFirst, IsOne aIsOne)
 {
   for (auto next = aMap.lower_bound(aFirst);
        next != aMap.end() && aIsOne(next->first);) {
--- a/oriolewalk/flow/flow_core.cc
+++ b/oriolewalk/flow/flow_core.cc
@@ -25,7 +25,7 @@
 } // namespace
 
 std::size_t
-MostVoters(std::uint32_t aLostInstances, bool aLosesPlaces)
+MaxVoters(std::uint32_t aLostInstances, bool aLosesPlaces)
 {
   constexpr std::size_t kLeast = 3;
   constexpr std::size_t kMost = 9;
@@ -62,7 +62,7 @@
   core->mRaft = std::make_unique<consensus::raft_node>(aConfig.mSelf,
                                                        aConfig.mRaft,
                                                        std::move(aRestored),
-                                                       aConfig.mFounders,
+                                                       aConfig.mInitialMembers,
                                                        aSeed,
                                                        aNow);
   core->mTickedAt = aNow;
@@ -78,23 +78,24 @@
   }
 }
 
-leading_port
+leader_port
 flow_core::Port()
 {
-  return {
-    .mPropose =
-      [this](command_body aBody, leading_port::on_applied aThen) {
-        return Propose(std::move(aBody), std::move(aThen));
-      },
-    .mAnswer =
-      [this](call_number aCall, flow_answer aAnswer) {
-        Answer(aCall, std::move(aAnswer));
-      },
-    .mFail = [this](call_number aCall,
-                    const error& aError) { Answer(aCall, Fail(aError)); },
-    .mNote = [this](decision aNote) { mNotes.push_back(std::move(aNote)); },
-    .mMembers = [this]() { return HeardMembers(); }
-  };
+  return { .mPropose =
+             [this](command_body aBody, leader_port::on_applied aThen) {
+               return Propose(std::move(aBody), std::move(aThen));
+             },
+           .mAnswer =
+             [this](call_number aCall, flow_answer aAnswer) {
+               Answer(aCall, std::move(aAnswer));
+             },
+           .mFail =
+             [this](call_number aCall, const error& aError) {
+               Answer(aCall, Fail(aError));
+             },
+           .mLogDecision =
+             [this](decision aNote) { mNotes.push_back(std::move(aNote)); },
+           .mMembers = [this]() { return HeardMembers(); } };
 }
 
 std::vector<std::string>
@@ -134,13 +135,15 @@
 }
 
 bool
-flow_core::WantsToJoin(time_point aNow) const
+flow_core::ShouldJoin(time_point aNow) const
 {
   return !mRaft->IsLeader() && aNow >= mLeaderHeardAt + kJoinAfter;
 }
 
 void
-flow_core::Ask(call_number aCall, const flow_request& aRequest, instant aAt)
+flow_core::HandleRequest(call_number aCall,
+                         const flow_request& aRequest,
+                         instant aAt)
 {
   SetTime(aAt);
   mOpen.insert(aCall);
@@ -155,42 +158,42 @@
   if (const auto* join = std::get_if<join_request>(&aRequest)) {
     TakeIn(*join);
   }
-  mLeading->Ask(aCall, aRequest);
+  mLeading->HandleRequest(aCall, aRequest);
 }
 
 void
-flow_core::OrderAnswered(std::uint64_t aOrder,
+flow_core::OnOrderAnswer(std::uint64_t aOrder,
                          const order_answer& aAnswer,
                          instant aAt)
 {
   SetTime(aAt);
   if (mLeading) {
-    mLeading->OrderAnswered(aOrder, aAnswer);
+    mLeading->OnOrderAnswer(aOrder, aAnswer);
   }
 }
 
 void
-flow_core::AdviceAnswered(std::uint64_t aOrder,
+flow_core::OnAdviceAnswer(std::uint64_t aOrder,
                           const result<approvals>& aAnswer,
                           instant aAt)
 {
   SetTime(aAt);
   if (mLeading) {
-    mLeading->AdviceAnswered(aOrder, aAnswer);
+    mLeading->OnAdviceAnswer(aOrder, aAnswer);
   }
 }
 
 void
-flow_core::CarrierFailed(const std::string& aAddress, instant aAt)
+flow_core::OnRelayFailure(const std::string& aAddress, instant aAt)
 {
   SetTime(aAt);
   if (mLeading) {
-    mLeading->CarrierFailed(aAddress);
+    mLeading->OnRelayFailure(aAddress);
   }
 }
 
 bool
-flow_core::Propose(command_body aBody, leading_port::on_applied aThen)
+flow_core::Propose(command_body aBody, leader_port::on_applied aThen)
 {
   const auto place =
     mRaft->Propose(Encode(command{ mAt.mWallMs, std::move(aBody) }), mAt.mNow);
@@ -241,7 +244,7 @@
 {
   const consensus::membership members = mRaft->Members();
   for (const consensus::member& learner : members.mLearners) {
-    if (!learner.mPromote && members.mVoters.size() < mConfig.mMostVoters &&
+    if (!learner.mPromote && members.mVoters.size() < mConfig.mMaxVoters &&
         mRaft->Promote(learner.mId, mAt.mNow)) {
       mNotes.push_back(
         { "member.promoted", { { "address", learner.mAddress } } });
@@ -286,8 +289,7 @@
     }
   }
   const consensus::membership& members = mRaft->Members();
-  if (members.mVoters.size() + members.mLearners.size() >=
-      mConfig.mMostVoters) {
+  if (members.mVoters.size() + members.mLearners.size() >= mConfig.mMaxVoters) {
     return; // a spare: it stands by until a voter is silent
   }
   // Refused while another change is under way; it asks again.
@@ -318,7 +320,7 @@
   if (!mLeading && leads) {
     mLeadingTerm = mRaft->Term();
     mLeadingSince = mAt.mNow;
-    mLeading = std::make_unique<leading>(
+    mLeading = std::make_unique<leader_core>(
       mState, mConfig.mFlow, Port(), mLeadingTerm, mAt, mLedUntil);
     mNotes.push_back(
       { "leading", { { "term", std::to_string(mLeadingTerm) } } });
@@ -350,7 +352,7 @@
   if (std::exchange(mLedTerm, mRaft->Term()) != mRaft->Term()) {
     mLedSince = *led;
   }
-  if (*led >= mLedSince + mConfig.mFlow.mHeartbeat) {
+  if (*led >= mLedSince + mConfig.mFlow.mHeartbeatInterval) {
     mLedUntil = *led;
   }
 }
@@ -378,7 +380,7 @@
   UpdateLeading();
   const bool serves = mLeading && mRaft->MayServe(aAt.mNow);
   if (serves) {
-    mLeading->Decide();
+    mLeading->PlanIfDue();
   }
   out.mRaft = mRaft->TakeEffects();
   if (out.mRaft.mSnapshot) {
@@ -397,12 +399,12 @@
   // Orders carry leases: only one leader may give them.
   if (mLeading && mRaft->MayServe(aAt.mNow)) {
     out.mOrders = mLeading->TakeOrders();
-    out.mQuestions = mLeading->TakeQuestions();
+    out.mAdviceCalls = mLeading->TakeAdviceCalls();
   }
   out.mSnapshot = std::exchange(mToStore, nullptr);
   out.mReplies = std::exchange(mReplies, {});
-  out.mNotes = std::exchange(mNotes, {});
-  out.mBroken = mBroken;
+  out.mDecisions = std::exchange(mNotes, {});
+  out.mFatalError = mBroken;
   return out;
 }
 
@@ -420,13 +422,13 @@
     return;
   }
   const apply_outcome outcome = mState.Apply(*decoded);
-  leading_port::on_applied then;
+  leader_port::on_applied then;
   if (auto found = mProposed.extract(aEntry.mIndex);
       !found.empty() && found.mapped().mTerm == aEntry.mTerm) {
     then = std::move(found.mapped().mThen);
   }
   if (mLeading) {
-    mLeading->Applied(decoded->mBody, outcome);
+    mLeading->OnApplied(decoded->mBody, outcome);
     if (then) {
       then(outcome);
     }
--- a/oriolewalk/flow/flow_core.h
+++ b/oriolewalk/flow/flow_core.h
@@ -40,19 +40,19 @@
 // 32.6 s of processor instead of 39.7 s, and the worth of a day with trouble
 // rises from 0.70 to 0.79, since the leader's messages were what bound.
 std::size_t
-MostVoters(std::uint32_t aLostInstances, bool aLosesPlaces);
+MaxVoters(std::uint32_t aLostInstances, bool aLosesPlaces);
 
 struct flow_config
 {
   consensus::node_id mSelf;
   std::string mAddress; // of this node's RPC
   consensus::raft_options mRaft;
-  consensus::membership mFounders; // empty: join a group that exists
+  consensus::membership mInitialMembers; // empty: join a group that exists
   flow_options mFlow;
   // A snapshot after so many log entries. An entry is about 300 bytes, so the
   // log stays under a few MB on a small disk.
   std::uint64_t mSnapshotEvery = 8'000;
-  std::size_t mMostVoters = 9; // see MostVoters
+  std::size_t mMaxVoters = 9; // see MostVoters
 };
 
 struct flow_reply
@@ -67,9 +67,9 @@
   std::shared_ptr<const consensus::snapshot> mSnapshot; // our own, to store
   std::vector<flow_reply> mReplies;
   std::vector<worker_order> mOrders;
-  std::vector<advice_order> mQuestions;
-  std::vector<decision> mNotes;
-  std::optional<error> mBroken; // the process must stop
+  std::vector<advice_call> mAdviceCalls;
+  std::vector<decision> mDecisions;
+  std::optional<error> mFatalError; // the process must stop
 };
 
 class flow_core
@@ -83,15 +83,17 @@
     time_point aNow);
 
   void Receive(const consensus::message& aMessage, instant aAt);
-  void Ask(call_number aCall, const flow_request& aRequest, instant aAt);
-  void OrderAnswered(std::uint64_t aOrder,
+  void HandleRequest(call_number aCall,
+                     const flow_request& aRequest,
+                     instant aAt);
+  void OnOrderAnswer(std::uint64_t aOrder,
                      const order_answer& aAnswer,
                      instant aAt);
-  void AdviceAnswered(std::uint64_t aOrder,
+  void OnAdviceAnswer(std::uint64_t aOrder,
                       const result<approvals>& aAnswer,
                       instant aAt);
   // Orders could not be handed over to this control process.
-  void CarrierFailed(const std::string& aAddress, instant aAt);
+  void OnRelayFailure(const std::string& aAddress, instant aAt);
   void Tick(instant aAt);
   void Persisted(consensus::ticket_t aTicket, instant aAt);
   void SnapshotStored(const consensus::snapshot& aSnapshot);
@@ -105,13 +107,13 @@
   [[nodiscard]] std::string LeaderAddress() const;
   // Whether this node is out of the group, or has heard no leader of late, and
   // should ask to be taken in.
-  [[nodiscard]] bool WantsToJoin(time_point aNow) const;
+  [[nodiscard]] bool ShouldJoin(time_point aNow) const;
 
 private:
   explicit flow_core(flow_config aConfig);
 
   void SetTime(instant aAt);
-  bool Propose(command_body aBody, leading_port::on_applied aThen);
+  bool Propose(command_body aBody, leader_port::on_applied aThen);
   void Answer(call_number aCall, result<flow_answer> aAnswer);
   void UpdateLeading();
   void NoteLed();
@@ -122,12 +124,12 @@
   void TakeIn(const join_request& aJoin);
   [[nodiscard]] duration SilenceOf(const consensus::peer_status& aPeer) const;
   [[nodiscard]] std::vector<std::string> HeardMembers() const;
-  leading_port Port();
+  leader_port Port();
 
   flow_config mConfig;
   std::unique_ptr<consensus::raft_node> mRaft;
   flow_state mState;
-  std::unique_ptr<leading> mLeading;
+  std::unique_ptr<leader_core> mLeading;
   consensus::term_t mLeadingTerm = 0;
   time_point mLeadingSince{};
   time_point mLedUntil = time_point::min(); // min(): not known
@@ -145,7 +147,7 @@
   struct proposed
   {
     consensus::term_t mTerm = 0;
-    leading_port::on_applied mThen;
+    leader_port::on_applied mThen;
   };
   std::map<consensus::log_index, proposed> mProposed;
   std::set<call_number> mOpen; // asked and not answered
--- a/oriolewalk/flow/flow_state.cc
+++ b/oriolewalk/flow/flow_state.cc
@@ -36,7 +36,7 @@
   std::map<job_id, job_record> mJobs;
   std::map<worker_number, worker_record> mWorkers;
   worker_number mLastWorker = 0;
-  crash_book mCrashes;
+  crash_tracker mCrashes;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
@@ -156,7 +156,7 @@
 }
 
 const std::set<run_ref>&
-flow_state::PlacedAt(worker_number aWorker) const
+flow_state::RunsAt(worker_number aWorker) const
 {
   static const std::set<run_ref> sNone;
   const auto found = mPlaced.find(aWorker);
@@ -168,9 +168,9 @@
 {
   mRuns.insert(aRun);
   mAmounts.mBooked += aStep.Booked();
-  mAmounts.mServing += aStep.mTailTargetMs > 0 ? 1 : 0;
-  mAmounts.mFilling += aStep.mFills ? 1 : 0;
-  mAmounts.mLasting += aStep.mLasting || aStep.mGang ? 1 : 0;
+  mAmounts.mLatencySensitive += aStep.mTailLatencyTargetMs > 0 ? 1 : 0;
+  mAmounts.mBestEffort += aStep.mBestEffort ? 1 : 0;
+  mAmounts.mLongRunning += aStep.mLongRunning || aStep.mGang ? 1 : 0;
 }
 
 void
@@ -178,22 +178,22 @@
 {
   mRuns.erase(aRun);
   mAmounts.mBooked -= aStep.Booked();
-  mAmounts.mServing -= aStep.mTailTargetMs > 0 ? 1 : 0;
-  mAmounts.mFilling -= aStep.mFills ? 1 : 0;
-  mAmounts.mLasting -= aStep.mLasting || aStep.mGang ? 1 : 0;
+  mAmounts.mLatencySensitive -= aStep.mTailLatencyTargetMs > 0 ? 1 : 0;
+  mAmounts.mBestEffort -= aStep.mBestEffort ? 1 : 0;
+  mAmounts.mLongRunning -= aStep.mLongRunning || aStep.mGang ? 1 : 0;
 }
 
-placed_amounts
-flow_state::AmountsAt(worker_number aWorker) const
+placed_totals
+flow_state::TotalsAt(worker_number aWorker) const
 {
   const auto found = mPlaced.find(aWorker);
-  return found == mPlaced.end() ? placed_amounts{} : found->second.mAmounts;
+  return found == mPlaced.end() ? placed_totals{} : found->second.mAmounts;
 }
 
 bool
-flow_state::IsOpen(const job_record& aJob,
-                   const occurrence_record& aOccurrence,
-                   std::uint32_t aStep)
+flow_state::AreDependenciesDone(const job_record& aJob,
+                                const occurrence_record& aOccurrence,
+                                std::uint32_t aStep)
 {
   return std::ranges::all_of(
     aJob.mSpec.mSteps[aStep].mDependsOn,
@@ -201,12 +201,12 @@
 }
 
 std::uint64_t
-flow_state::Pending(std::string_view aQueue) const
+flow_state::PendingJobs(std::string_view aQueue) const
 {
   return static_cast<std::uint64_t>(
     std::ranges::count_if(mLive, [&](const auto& aEntry) {
       const job_record& job = *aEntry.second;
-      return job.IsActive() && !job.mBegun && job.mQueue.mName == aQueue;
+      return job.IsActive() && !job.mHasStarted && job.mQueue.mName == aQueue;
     }));
 }
 
@@ -221,7 +221,7 @@
 std::uint32_t
 flow_state::MostAttempts(const job_record& aJob) const
 {
-  return std::max(QueueOf(aJob).mMostAttempts, 1U);
+  return std::max(QueueOf(aJob).mMaxAttempts, 1U);
 }
 
 apply_outcome
@@ -247,7 +247,7 @@
   job.mSpec = aSubmit.mSpec;
   job.mQueue = aSubmit.mQueue;
   job.mSubmittedWallMs = aWallMs;
-  if (job.mSpec.mRecurrence.mTimes == 0) {
+  if (job.mSpec.mRecurrence.mRepeatCount == 0) {
     OpenOccurrence(job, 0, aWallMs);
   }
   const auto placed = mJobs.emplace(aSubmit.mId, std::move(job)).first;
@@ -275,7 +275,7 @@
   const auto found = mJobs.find(aOpen.mId);
   if (found == mJobs.end() || !found->second.IsActive() ||
       found->second.mNextOccurrence != aOpen.mOccurrence ||
-      aOpen.mOccurrence >= found->second.mSpec.mRecurrence.mTimes) {
+      aOpen.mOccurrence >= found->second.mSpec.mRecurrence.mRepeatCount) {
     return Refuse(error_code::Conflict, "the occurrence isn't the next one");
   }
   OpenOccurrence(found->second, aOpen.mOccurrence, aWallMs);
@@ -313,7 +313,7 @@
   const auto found = mJobs.find(place.mJob);
   const worker_record* worker = FindWorker(aStart.mWorker);
   if (found == mJobs.end() || !found->second.IsActive() || worker == nullptr ||
-      worker->mDraining || mCrashes.IsOver(aStart.mWorker)) {
+      worker->mDraining || mCrashes.HasCrashed(aStart.mWorker)) {
     return false;
   }
   job_record& job = found->second;
@@ -323,15 +323,15 @@
     return false;
   }
   occurrence_record& occurrence = job.mOccurrences.at(place.mOccurrence);
-  if (!IsOpen(job, occurrence, place.mStep)) {
+  if (!AreDependenciesDone(job, occurrence, place.mStep)) {
     return false;
   }
   task->mPhase = task_phase::Placed;
   task->mAttempt = aStart.mRun.mAttempt;
   task->mWorker = aStart.mWorker;
-  occurrence.mBegun = true;
-  job.mBegun = true;
-  ++job.mPlaced;
+  occurrence.mHasStarted = true;
+  job.mHasStarted = true;
+  ++job.mPlacedRuns;
   mPlaced[aStart.mWorker].Add(aStart.mRun, job.mSpec.mSteps[place.mStep]);
   return true;
 }
@@ -345,7 +345,7 @@
     job.mOccurrences.at(aRun.mTask.mOccurrence).mSteps[aRun.mTask.mStep];
   task->mPhase = step.IsDone() ? task_phase::Done : task_phase::Waiting;
   task->mWorker = 0;
-  --job.mPlaced;
+  --job.mPlacedRuns;
   const auto book = mPlaced.find(aWorker);
   book->second.Remove(aRun, job.mSpec.mSteps[aRun.mTask.mStep]);
   if (book->second.mRuns.empty()) {
@@ -400,7 +400,7 @@
   if (!aEnd.mCheckpoint.empty()) {
     SetCheckpoint(task, aStep, aSpec, aEnd.mCheckpoint);
   }
-  if (aSpec.mLasting) {
+  if (aSpec.mLongRunning) {
     return; // it is started again, however it ended
   }
   if (aEnd.mOutcome == run_outcome::Done) {
@@ -421,10 +421,10 @@
 {
   if (!aSpec.mGang) {
     aStep.mTasks[aRun.mTask.mIndex].mPhase = task_phase::Done;
-    ++aStep.mDone;
+    ++aStep.mDoneTasks;
     return;
   }
-  aStep.mDone = static_cast<std::uint32_t>(aStep.mTasks.size());
+  aStep.mDoneTasks = static_cast<std::uint32_t>(aStep.mTasks.size());
   for (task_record& member : aStep.mTasks) {
     if (member.mPhase == task_phase::Waiting) {
       member.mPhase = task_phase::Done;
@@ -442,8 +442,8 @@
 {
   std::uint32_t failures = 0;
   if (aSpec.mGang) {
-    if (aStep.mLastFailed != aRun.mAttempt) {
-      aStep.mLastFailed = aRun.mAttempt;
+    if (aStep.mLastFailedAttempt != aRun.mAttempt) {
+      aStep.mLastFailedAttempt = aRun.mAttempt;
       ++aStep.mGangFailures;
     }
     failures = aStep.mGangFailures;
@@ -461,8 +461,9 @@
                          std::int64_t aWallMs,
                          apply_outcome& aOutcome)
 {
-  const bool opened = aJob.mSpec.mRecurrence.mTimes == 0 ||
-                      aJob.mNextOccurrence >= aJob.mSpec.mRecurrence.mTimes;
+  const bool opened =
+    aJob.mSpec.mRecurrence.mRepeatCount == 0 ||
+    aJob.mNextOccurrence >= aJob.mSpec.mRecurrence.mRepeatCount;
   for (auto& [number, occurrence] : aJob.mOccurrences) {
     occurrence.mDone =
       std::ranges::all_of(occurrence.mSteps, &step_record::IsDone);
@@ -485,7 +486,7 @@
 {
   aJob.mState = aState;
   aJob.mEndedWallMs = aWallMs;
-  aOutcome.mEnded.push_back(aId);
+  aOutcome.mEndedJobs.push_back(aId);
   UpdateLive(aId, aJob);
   // What made a job fail is kept for as long as the job is shown. Plans go
   // through what is kept.
@@ -497,7 +498,7 @@
 void
 flow_state::UpdateLive(const job_id& aId, const job_record& aJob)
 {
-  if (aJob.IsActive() || aJob.mPlaced > 0) {
+  if (aJob.IsActive() || aJob.mPlacedRuns > 0) {
     mLive.emplace(aId, &aJob);
   } else {
     mLive.erase(aId);
@@ -526,31 +527,31 @@
 }
 
 apply_outcome
-flow_state::On(const lose_runs& aLose, std::int64_t /*aWallMs*/)
+flow_state::On(const mark_runs_lost& aLose, std::int64_t /*aWallMs*/)
 {
   const std::vector<run_ref> lost = ReleaseAll(aLose.mWorker, aLose.mRuns);
   if (!lost.empty()) {
-    mCrashes.Lost(aLose.mWorker, lost);
+    mCrashes.OnRunsLost(aLose.mWorker, lost);
   }
   return {};
 }
 
 apply_outcome
-flow_state::On(const note_return& aReturn, std::int64_t /*aWallMs*/)
+flow_state::On(const record_worker_return& aReturn, std::int64_t /*aWallMs*/)
 {
-  mCrashes.Returned(aReturn.mWorker);
+  mCrashes.OnWorkerReturn(aReturn.mWorker);
   return {};
 }
 
 apply_outcome
-flow_state::On(const note_crash& aCrash, std::int64_t aWallMs)
+flow_state::On(const record_worker_crash& aCrash, std::int64_t aWallMs)
 {
   if (FindWorker(aCrash.mWorker) == nullptr) {
     return Refuse(error_code::NotFound, "the worker has gone");
   }
   apply_outcome outcome;
   for (const task_ref& task :
-       mCrashes.Crashed(aCrash.mWorker, PlacedAt(aCrash.mWorker), aCrash)) {
+       mCrashes.OnCrash(aCrash.mWorker, RunsAt(aCrash.mWorker), aCrash)) {
     GiveUpIfCrashing(task, aWallMs, outcome);
   }
   return outcome;
@@ -562,13 +563,13 @@
                              apply_outcome& aOutcome)
 {
   const step_record* step = FindStepRecord(aTask);
-  if (step == nullptr || step->IsDone() || !mCrashes.IsGivenUp(aTask) ||
+  if (step == nullptr || step->IsDone() || !mCrashes.ShouldAbandon(aTask) ||
       FindTask(aTask)->mPhase == task_phase::Done) {
     return;
   }
   job_record& job = mJobs.at(aTask.mJob);
   if (job.IsActive()) {
-    aOutcome.mGivenUp.push_back(aTask);
+    aOutcome.mAbandonedTasks.push_back(aTask);
     EndJob(aTask.mJob, job, job_state::Failed, aWallMs, aOutcome);
   }
 }
@@ -577,27 +578,27 @@
 flow_state::On(const register_worker& aWorker, std::int64_t /*aWallMs*/)
 {
   apply_outcome outcome;
-  worker_number number = NumberOf(aWorker.mFacts.mId);
+  worker_number number = NumberOf(aWorker.mDescription.mId);
   const std::int64_t known =
-    number == 0 ? 0 : mWorkers.at(number).mFacts.mBornMs;
-  if (aWorker.mFacts.mBornMs < known) {
+    number == 0 ? 0 : mWorkers.at(number).mDescription.mProcessStartMs;
+  if (aWorker.mDescription.mProcessStartMs < known) {
     return Refuse(error_code::Conflict, "an earlier life of the worker");
   }
   // Without a number of its own a life's ends are measured by the cursor of the
   // one before: they are passed over, and their tasks start again or never. By
   // it all that is kept of a worker begins anew, and commands on the life
   // before that are still under way find nobody.
-  if (number == 0 || aWorker.mFacts.mBornMs > known) {
-    outcome.mFormerLife = std::exchange(number, ++mLastWorker);
-    mNumbers[aWorker.mFacts.mId] = number;
+  if (number == 0 || aWorker.mDescription.mProcessStartMs > known) {
+    outcome.mPreviousIncarnation = std::exchange(number, ++mLastWorker);
+    mNumbers[aWorker.mDescription.mId] = number;
   }
   worker_record& record = mWorkers[number];
-  record.mFacts = aWorker.mFacts;
+  record.mDescription = aWorker.mDescription;
   record.mDraining = record.mDraining || aWorker.mDraining;
-  if (outcome.mFormerLife != 0) {
-    MovePlaced(outcome.mFormerLife, number);
-    mWorkers.erase(outcome.mFormerLife);
-    mCrashes.ForgetWorker(outcome.mFormerLife);
+  if (outcome.mPreviousIncarnation != 0) {
+    MovePlaced(outcome.mPreviousIncarnation, number);
+    mWorkers.erase(outcome.mPreviousIncarnation);
+    mCrashes.ForgetWorker(outcome.mPreviousIncarnation);
   }
   return outcome;
 }
@@ -627,15 +628,15 @@
   }
   apply_outcome outcome;
   if (!found->second.mDraining) {
-    for (const task_ref& task : mCrashes.Vanished(aWorker.mWorker)) {
+    for (const task_ref& task : mCrashes.OnWorkerRemoved(aWorker.mWorker)) {
       GiveUpIfCrashing(task, aWallMs, outcome);
     }
   }
-  const std::set<run_ref> runs = PlacedAt(aWorker.mWorker);
+  const std::set<run_ref> runs = RunsAt(aWorker.mWorker);
   for (const run_ref& run : runs) {
     Release(run, aWorker.mWorker);
   }
-  mNumbers.erase(found->second.mFacts.mId);
+  mNumbers.erase(found->second.mDescription.mId);
   mWorkers.erase(found);
   mCrashes.ForgetWorker(aWorker.mWorker);
   return outcome;
@@ -655,7 +656,7 @@
 }
 
 apply_outcome
-flow_state::On(const keep_checkpoints& aKeep, std::int64_t /*aWallMs*/)
+flow_state::On(const save_checkpoints& aKeep, std::int64_t /*aWallMs*/)
 {
   for (const run_checkpoint& kept : aKeep.mRuns) {
     const task_ref& place = kept.mRun.mTask;
@@ -711,7 +712,7 @@
   mPlaced.clear();
   IndexQueues();
   for (const auto& [number, worker] : mWorkers) {
-    mNumbers[worker.mFacts.mId] = number;
+    mNumbers[worker.mDescription.mId] = number;
   }
   for (const auto& [id, job] : mJobs) {
     UpdateLive(id, job);
--- a/oriolewalk/flow/flow_state.h
+++ b/oriolewalk/flow/flow_state.h
@@ -42,17 +42,18 @@
 {
   std::optional<error> mError{};
   std::vector<run_start> mStarted{}; // of start_runs: those that were accepted
-  std::vector<job_id> mEnded{};      // jobs that ended by this command
-  std::vector<task_ref> mGivenUp{};  // they ended their jobs
-  worker_number mFormerLife = 0;     // by register_worker: now over; 0: none
+  std::vector<job_id> mEndedJobs{};  // jobs that ended by this command
+  std::vector<task_ref> mAbandonedTasks{}; // they ended their jobs
+  worker_number mPreviousIncarnation =
+    0; // by register_worker: now over; 0: none
 };
 
-struct placed_amounts
+struct placed_totals
 {
   cell::resources mBooked;
-  std::uint32_t mServing = 0; // with a target for their tail
-  std::uint32_t mFilling = 0;
-  std::uint32_t mLasting = 0; // or members of gangs
+  std::uint32_t mLatencySensitive = 0; // with a target for their tail
+  std::uint32_t mBestEffort = 0;
+  std::uint32_t mLongRunning = 0; // or members of gangs
 };
 
 class flow_state
@@ -67,7 +68,7 @@
     return mJobs;
   }
   // Jobs that have not ended, or of which a run may still be under way.
-  [[nodiscard]] const std::map<job_id, const job_record*>& Live() const
+  [[nodiscard]] const std::map<job_id, const job_record*>& LiveJobs() const
   {
     return mLive;
   }
@@ -87,20 +88,21 @@
   // Whether the attempt may be under way at aWorker.
   [[nodiscard]] bool IsPlaced(const run_ref& aRun, worker_number aWorker) const;
   // The runs that may be under way there; empty for none.
-  [[nodiscard]] const std::set<run_ref>& PlacedAt(worker_number aWorker) const;
+  [[nodiscard]] const std::set<run_ref>& RunsAt(worker_number aWorker) const;
   // What they take of its capacity, and how many of them have a target for
   // their tail or fill. One look-up: plans ask it of every worker.
-  [[nodiscard]] placed_amounts AmountsAt(worker_number aWorker) const;
+  [[nodiscard]] placed_totals TotalsAt(worker_number aWorker) const;
   // Whether every step that aStep depends on is done.
-  [[nodiscard]] static bool IsOpen(const job_record& aJob,
-                                   const occurrence_record& aOccurrence,
-                                   std::uint32_t aStep);
+  [[nodiscard]] static bool AreDependenciesDone(
+    const job_record& aJob,
+    const occurrence_record& aOccurrence,
+    std::uint32_t aStep);
   // The queue's row in force, or the one that the job came in by if the queue
   // has been taken out since.
   [[nodiscard]] const queue_row& QueueOf(const job_record& aJob) const;
-  [[nodiscard]] const crash_book& Crashes() const { return mCrashes; }
+  [[nodiscard]] const crash_tracker& Crashes() const { return mCrashes; }
   // Accepted jobs of the queue of which no task was placed yet.
-  [[nodiscard]] std::uint64_t Pending(std::string_view aQueue) const;
+  [[nodiscard]] std::uint64_t PendingJobs(std::string_view aQueue) const;
 
   [[nodiscard]] bytes Save() const;
   // Errors: Corrupt; the state is then unchanged.
@@ -111,7 +113,7 @@
   {
     std::set<run_ref> mRuns;
     // Counted here, since plans ask for every worker many times a second.
-    placed_amounts mAmounts;
+    placed_totals mAmounts;
 
     void Add(const run_ref& aRun, const step_spec& aStep);
     void Remove(const run_ref& aRun, const step_spec& aStep);
@@ -127,10 +129,10 @@
   apply_outcome On(const register_worker& aWorker, std::int64_t aWallMs);
   apply_outcome On(const remove_worker& aWorker, std::int64_t aWallMs);
   apply_outcome On(const forget_jobs& aForget, std::int64_t aWallMs);
-  apply_outcome On(const keep_checkpoints& aKeep, std::int64_t aWallMs);
-  apply_outcome On(const lose_runs& aLose, std::int64_t aWallMs);
-  apply_outcome On(const note_return& aReturn, std::int64_t aWallMs);
-  apply_outcome On(const note_crash& aCrash, std::int64_t aWallMs);
+  apply_outcome On(const save_checkpoints& aKeep, std::int64_t aWallMs);
+  apply_outcome On(const mark_runs_lost& aLose, std::int64_t aWallMs);
+  apply_outcome On(const record_worker_return& aReturn, std::int64_t aWallMs);
+  apply_outcome On(const record_worker_crash& aCrash, std::int64_t aWallMs);
 
   void OpenOccurrence(job_record& aJob,
                       std::uint32_t aNumber,
@@ -189,7 +191,7 @@
   std::map<job_id, job_record> mJobs;
   std::map<worker_number, worker_record> mWorkers;
   worker_number mLastWorker = 0;
-  crash_book mCrashes;
+  crash_tracker mCrashes;
 
   // Derived from the above.
   std::map<job_id, const job_record*> mLive; // of mJobs, whose nodes stay
--- a/oriolewalk/flow/heartbeat_aggregator.cc
+++ b/oriolewalk/flow/heartbeat_aggregator.cc
@@ -18,58 +18,62 @@
 } // namespace
 
 bool
-beat_desk::IsGathering(time_point aNow) const
+heartbeat_aggregator::IsAggregating(time_point aNow) const
 {
   return mLeaderHeardAt != time_point::min() &&
          aNow < mLeaderHeardAt + kLeaderSilence;
 }
 
 bool
-beat_desk::Take(const worker_beat& aBeat, time_point aNow)
+heartbeat_aggregator::TryAccept(const worker_heartbeat& aBeat, time_point aNow)
 {
-  const auto found = mKnown.find(aBeat.mFacts.mId);
-  if (!IsGathering(aNow) || found == mKnown.end() ||
-      found->second.mFacts != aBeat.mFacts ||
+  const auto found = mKnown.find(aBeat.mDescription.mId);
+  if (!IsAggregating(aNow) || found == mKnown.end() ||
+      found->second.mFacts != aBeat.mDescription ||
       found->second.mDraining != aBeat.mDraining) {
     return false;
   }
   found->second.mBeatAt = aNow;
-  beat_note& note = mNotes[aBeat.mFacts.mId];
+  heartbeat_digest& note = mNotes[aBeat.mDescription.mId];
   // A later life numbers its heartbeats anew.
-  if (std::pair(aBeat.mFacts.mBornMs, aBeat.mNumber) >=
-      std::pair(note.mBornMs, note.mNumber)) {
-    note = {
-      aBeat.mFacts.mId, aBeat.mFacts.mBornMs, aBeat.mNumber, aBeat.mClockMs
-    };
+  if (std::pair(aBeat.mDescription.mProcessStartMs, aBeat.mSequence) >=
+      std::pair(note.mProcessStartMs, note.mSequence)) {
+    note = { aBeat.mDescription.mId,
+             aBeat.mDescription.mProcessStartMs,
+             aBeat.mSequence,
+             aBeat.mClockMs };
   }
   return true;
 }
 
 void
-beat_desk::Acknowledged(const worker_beat& aBeat, time_point aNow)
+heartbeat_aggregator::OnAcknowledged(const worker_heartbeat& aBeat,
+                                     time_point aNow)
 {
-  mKnown[aBeat.mFacts.mId] = { aBeat.mFacts, aBeat.mDraining, aNow };
+  mKnown[aBeat.mDescription.mId] = { aBeat.mDescription,
+                                     aBeat.mDraining,
+                                     aNow };
   mLeaderHeardAt = aNow;
 }
 
 void
-beat_desk::Forget(const worker_id& aId)
+heartbeat_aggregator::Forget(const worker_id& aId)
 {
   mKnown.erase(aId);
   mNotes.erase(aId);
 }
 
-std::optional<beat_summary>
-beat_desk::TakeSummary(time_point aNow)
+std::optional<heartbeat_summary>
+heartbeat_aggregator::TakeSummary(time_point aNow)
 {
   if (mUnderWay || mNotes.empty() || aNow < mNextSummary) {
     return std::nullopt;
   }
   mNextSummary = aNow + kSummaryEvery;
   mUnderWay = true;
-  beat_summary summary;
+  heartbeat_summary summary;
   for (auto& [id, note] : std::exchange(mNotes, {})) {
-    summary.mNotes.push_back(std::move(note));
+    summary.mDigests.push_back(std::move(note));
   }
   std::erase_if(mKnown, [&](const auto& aEntry) {
     return aNow >= aEntry.second.mBeatAt + kForgetAfter;
@@ -78,7 +82,8 @@
 }
 
 void
-beat_desk::Summarised(std::span<const worker_id> aUnknown, time_point aNow)
+heartbeat_aggregator::OnSummaryAccepted(std::span<const worker_id> aUnknown,
+                                        time_point aNow)
 {
   mUnderWay = false;
   mLeaderHeardAt = aNow;
@@ -88,7 +93,7 @@
 
 // What it held is lost: those workers' next heartbeats tell more.
 void
-beat_desk::SummaryFailed()
+heartbeat_aggregator::OnSummaryFailed()
 {
   mUnderWay = false;
 }
--- a/oriolewalk/flow/heartbeat_aggregator.h
+++ b/oriolewalk/flow/heartbeat_aggregator.h
@@ -30,35 +30,35 @@
 
 namespace oriolewalk::flow {
 
-class beat_desk
+class heartbeat_aggregator
 {
 public:
   // False: the leader must be asked.
-  bool Take(const worker_beat& aBeat, time_point aNow);
+  bool TryAccept(const worker_heartbeat& aBeat, time_point aNow);
   // The leader knows all that this heartbeat said, and takes summaries.
-  void Acknowledged(const worker_beat& aBeat, time_point aNow);
+  void OnAcknowledged(const worker_heartbeat& aBeat, time_point aNow);
   // The worker has said that it leaves.
   void Forget(const worker_id& aId);
   // At most one a quarter second, one under way at a time; nothing if nothing
   // was taken.
-  std::optional<beat_summary> TakeSummary(time_point aNow);
+  std::optional<heartbeat_summary> TakeSummary(time_point aNow);
   // The leader took the summary; it doesn't know these.
-  void Summarised(std::span<const worker_id> aUnknown, time_point aNow);
+  void OnSummaryAccepted(std::span<const worker_id> aUnknown, time_point aNow);
   // Nobody took it.
-  void SummaryFailed();
+  void OnSummaryFailed();
   // Whether workers may go on sending their heartbeats here.
-  [[nodiscard]] bool IsGathering(time_point aNow) const;
+  [[nodiscard]] bool IsAggregating(time_point aNow) const;
 
 private:
   struct known_worker
   {
-    worker_facts mFacts;
+    worker_description mFacts;
     bool mDraining = false;
     time_point mBeatAt{};
   };
 
   std::map<worker_id, known_worker> mKnown;
-  std::map<worker_id, beat_note> mNotes;
+  std::map<worker_id, heartbeat_digest> mNotes;
   bool mUnderWay = false;
   time_point mNextSummary{};
   time_point mLeaderHeardAt = time_point::min();
--- a/oriolewalk/flow/interference_control.cc
+++ b/oriolewalk/flow/interference_control.cc
@@ -20,14 +20,14 @@
 constexpr int kLeast = 10;
 
 double
-WorstTail(std::span<const sharing_run> aRuns)
+WorstTail(std::span<const colocated_run> aRuns)
 {
   double worst = 0;
-  for (const sharing_run& run : aRuns) {
-    if (run.mTargetMs > 0) {
+  for (const colocated_run& run : aRuns) {
+    if (run.mTailLatencyTargetMs > 0) {
       worst = std::max(worst,
-                       static_cast<double>(run.mTailMs) /
-                         static_cast<double>(run.mTargetMs));
+                       static_cast<double>(run.mTailLatencyMs) /
+                         static_cast<double>(run.mTailLatencyTargetMs));
     }
   }
   return worst;
@@ -51,12 +51,12 @@
 } // namespace
 
 std::vector<pace_change>
-sharing_control::Decide(worker_number aWorker,
-                        std::span<const sharing_run> aRuns,
-                        time_point aNow)
+interference_control::Decide(worker_number aWorker,
+                             std::span<const colocated_run> aRuns,
+                             time_point aNow)
 {
   std::vector<pace_change> changes;
-  const bool fills = std::ranges::any_of(aRuns, &sharing_run::mFills);
+  const bool fills = std::ranges::any_of(aRuns, &colocated_run::mBestEffort);
   const double worst = WorstTail(aRuns);
   const auto changed = mChangedAt.find(aWorker);
   // A stop is never put off.
@@ -65,9 +65,9 @@
   if (!fills || (!settled && worst < kStop)) {
     return changes;
   }
-  for (const sharing_run& run : aRuns) {
+  for (const colocated_run& run : aRuns) {
     const int next = NextPercent(run.mPercent, worst);
-    if (run.mFills && next != run.mPercent) {
+    if (run.mBestEffort && next != run.mPercent) {
       changes.push_back({ run.mRun, next });
     }
   }
--- a/oriolewalk/flow/interference_control.h
+++ b/oriolewalk/flow/interference_control.h
@@ -27,12 +27,13 @@
 namespace oriolewalk::flow {
 
 // A run as the worker's last look showed it.
-struct sharing_run
+struct colocated_run
 {
   run_ref mRun;
-  std::int64_t mTargetMs = 0; // of a serving task; 0: it doesn't serve
-  std::int64_t mTailMs = 0;   // of a serving task
-  bool mFills = false;
+  std::int64_t mTailLatencyTargetMs =
+    0;                             // of a serving task; 0: it doesn't serve
+  std::int64_t mTailLatencyMs = 0; // of a serving task
+  bool mBestEffort = false;
   int mPercent = 100; // the pace that was asked for last
 };
 
@@ -42,11 +43,11 @@
   int mPercent = 100;
 };
 
-class sharing_control
+class interference_control
 {
 public:
   std::vector<pace_change> Decide(worker_number aWorker,
-                                  std::span<const sharing_run> aRuns,
+                                  std::span<const colocated_run> aRuns,
                                   time_point aNow);
   void Forget(worker_number aWorker) { mChangedAt.erase(aWorker); }
 
--- a/oriolewalk/flow/leader_advice.cc
+++ b/oriolewalk/flow/leader_advice.cc
@@ -28,11 +28,11 @@
 } // namespace
 
 std::vector<std::string>
-leading::FreeAdvisors() const
+leader_core::FreeAdvisors() const
 {
   std::vector<std::string> all = mPort.mMembers();
   for (const auto& [address, heard] : mEntries) {
-    if (mAt.mNow < heard + kEntrySilence) {
+    if (mAt.mNow < heard + kEntryTimeout) {
       all.push_back(address);
     }
   }
@@ -51,7 +51,7 @@
 }
 
 advisor_load
-leading::AdvisorLoad()
+leader_core::AdvisorLoad()
 {
   advisor_load load;
   load.mFree = FreeAdvisors().size();
@@ -61,12 +61,12 @@
     ++load.mUsed[open.mQueue];
     first += open.mFirst ? 1 : 0;
   }
-  load.mFirstPeak = mFirstPeak.Note(first, mAt.mNow);
+  load.mTopPriorityPeak = mFirstPeak.Record(first, mAt.mNow);
   return load;
 }
 
 void
-leading::AskPolicy(const question& aQuestion)
+leader_core::AskPolicy(const advice_query& aQuestion)
 {
   const auto advisors = FreeAdvisors();
   const job_record* job = mState.FindJob(aQuestion.mStep.mJob);
@@ -74,21 +74,21 @@
     return;
   }
   const queue_row& queue = mState.QueueOf(*job);
-  const advice_terms terms = queue.mAdvice.value_or(advice_terms{});
+  const advice_timing terms = queue.mAdvice.value_or(advice_timing{});
   open_question open{
     advisors.front(), aQuestion.mStep,     queue.mName, terms.mValidMs, {},
     mAt.mNow,         queue.mPriority == 0
   };
-  advice_order order{ ++mLastQuestion, advisors.front(), {} };
+  advice_call order{ ++mLastQuestion, advisors.front(), {} };
   order.mRequest.mStep = aQuestion.mStep;
   for (const worker_number number : aQuestion.mWorkers) {
-    const worker_id& id = mState.FindWorker(number)->mFacts.mId;
+    const worker_id& id = mState.FindWorker(number)->mDescription.mId;
     open.mAsked.emplace_back(number, id);
     order.mRequest.mWorkers.push_back(id);
   }
   const auto named = static_cast<double>(aQuestion.mWorkers.size());
   constexpr double kHalfMore = 1.5;
-  order.mRequest.mBoundMs =
+  order.mRequest.mTimeoutMs =
     static_cast<std::int64_t>(kHalfMore *
                               (terms.mBaseMs + terms.mPerWorkerMs * named)) +
     kAdviceMarginMs;
@@ -99,7 +99,8 @@
 }
 
 void
-leading::AdviceAnswered(std::uint64_t aOrder, const result<approvals>& aAnswer)
+leader_core::OnAdviceAnswer(std::uint64_t aOrder,
+                            const result<approvals>& aAnswer)
 {
   auto open = mOpenQuestions.extract(aOrder);
   if (open.empty()) {
@@ -108,30 +109,31 @@
   const open_question& asked = open.mapped();
   mAsking.erase(asked.mStep);
   mNamed.erase(asked.mStep);
-  mPace.Changed(asked.mFirst);
+  mPace.OnChange(asked.mFirst);
   if (!aAnswer) {
     mAsideUntil[asked.mAdvisor] = mAt.mNow + kAdvisorAside;
-    mPort.mNote({ "advice.failed",
-                  { { "job", asked.mStep.mJob.Value() },
-                    { "advisor", asked.mAdvisor },
-                    { "problem", aAnswer.error().Describe() } } });
+    mPort.mLogDecision({ "advice.failed",
+                         { { "job", asked.mStep.mJob.Value() },
+                           { "advisor", asked.mAdvisor },
+                           { "problem", aAnswer.error().Describe() } } });
     return;
   }
-  mPort.mNote({ "advice.answered",
-                { { "job", asked.mStep.mJob.Value() },
-                  { "step", std::to_string(asked.mStep.mStep) },
-                  { "queue", asked.mQueue },
-                  { "asked", std::to_string(asked.mAsked.size()) },
-                  { "by", asked.mAdvisor },
-                  { "took_ms", std::to_string(ToMs(mAt.mNow - asked.mAt)) },
-                  { "approved", std::to_string(aAnswer->size()) } } });
+  mPort.mLogDecision(
+    { "advice.answered",
+      { { "job", asked.mStep.mJob.Value() },
+        { "step", std::to_string(asked.mStep.mStep) },
+        { "queue", asked.mQueue },
+        { "asked", std::to_string(asked.mAsked.size()) },
+        { "by", asked.mAdvisor },
+        { "took_ms", std::to_string(ToMs(mAt.mNow - asked.mAt)) },
+        { "approved", std::to_string(aAnswer->size()) } } });
   const milliseconds valid = milliseconds(asked.mValidMs) - kTicketMargin;
-  mAdvice.Answered(
+  mAdvice.OnAnswer(
     asked.mStep, asked.mQueue, asked.mAsked, *aAnswer, mAt.mNow + valid);
 }
 
-std::vector<advice_order>
-leading::TakeQuestions()
+std::vector<advice_call>
+leader_core::TakeAdviceCalls()
 {
   return std::exchange(mQuestions, {});
 }
--- a/oriolewalk/flow/leader_calls.cc
+++ b/oriolewalk/flow/leader_calls.cc
@@ -27,15 +27,15 @@
 } // namespace
 
 void
-leading::Propose(command_body aBody, leading_port::on_applied aThen)
+leader_core::Propose(command_body aBody, leader_port::on_applied aThen)
 {
   static_cast<void>(mPort.mPropose(std::move(aBody), std::move(aThen)));
 }
 
 void
-leading::ProposeAndAnswer(call_number aCall,
-                          command_body aBody,
-                          flow_answer aAnswer)
+leader_core::ProposeAndAnswer(call_number aCall,
+                              command_body aBody,
+                              flow_answer aAnswer)
 {
   const bool proposed = mPort.mPropose(
     std::move(aBody),
@@ -53,25 +53,25 @@
 }
 
 void
-leading::Ask(call_number aCall, const flow_request& aRequest)
+leader_core::HandleRequest(call_number aCall, const flow_request& aRequest)
 {
   std::visit([&](const auto& aOne) { On(aCall, aOne); }, aRequest);
 }
 
 void
-leading::On(call_number aCall, const entry_beat& aBeat)
+leader_core::On(call_number aCall, const entry_heartbeat& aBeat)
 {
   mEntries[aBeat.mAddress] = mAt.mNow;
   mPort.mAnswer(aCall,
-                beat_answer{ mState.Table().mVersion,
-                             mState.Table().mLimits,
-                             mPort.mMembers() });
+                entry_heartbeat_answer{ mState.Table().mVersion,
+                                        mState.Table().mLimits,
+                                        mPort.mMembers() });
 }
 
 void
-leading::On(call_number aCall, const job_submission& aJob)
+leader_core::On(call_number aCall, const job_submission& aJob)
 {
-  const auto& place = aJob.mPlace;
+  const auto& place = aJob.mPath;
   if (mState.Table().mVersion == 0) {
     mPort.mAnswer(aCall, job_answer{ job_reply::NotConfigured, {}, 0, 0 });
     return;
@@ -104,13 +104,13 @@
 }
 
 void
-leading::On(call_number aCall, const job_query& aQuery)
+leader_core::On(call_number aCall, const job_query& aQuery)
 {
   if (mState.Table().mVersion == 0) {
     mPort.mAnswer(aCall, job_answer{ job_reply::NotConfigured, {}, 0, 0 });
     return;
   }
-  const auto& place = aQuery.mPlace;
+  const auto& place = aQuery.mPath;
   const queue_row* queue = mState.Table().Route(place.mHost, place.mPath);
   const std::string_view path = place.mPath;
   const job_record* job =
@@ -129,102 +129,103 @@
   if (path.size() == queue->mPrefix.size()) {
     mPort.mAnswer(
       aCall,
-      job_answer{ job_reply::Pending, {}, mState.Pending(queue->mName), 0 });
+      job_answer{
+        job_reply::Pending, {}, mState.PendingJobs(queue->mName), 0 });
     return;
   }
-  mPort.mAnswer(aCall, job_answer{ job_reply::Gone, {}, 0, 0 });
+  mPort.mAnswer(aCall, job_answer{ job_reply::NotFound, {}, 0, 0 });
 }
 
 void
-leading::AnswerState(call_number aCall, const job_record& aJob)
+leader_core::AnswerState(call_number aCall, const job_record& aJob)
 {
   mPort.mAnswer(
     aCall, job_answer{ job_reply::State, std::string(StateName(aJob)), 0, 0 });
 }
 
 void
-leading::On(call_number aCall, const job_cancellation& aCancel)
+leader_core::On(call_number aCall, const job_cancellation& aCancel)
 {
-  const std::string_view path = aCancel.mPlace.mPath;
+  const std::string_view path = aCancel.mPath.mPath;
   const job_id id(std::string(
     path.substr(path.size() - std::min(path.size(), kJobIdLength))));
   const job_record* job = mState.FindJob(id);
   const job_answer cancelled{ job_reply::Cancelled, {}, 0, 0 };
   if (job == nullptr) {
-    mPort.mAnswer(aCall, job_answer{ job_reply::Gone, {}, 0, 0 });
+    mPort.mAnswer(aCall, job_answer{ job_reply::NotFound, {}, 0, 0 });
   } else if (!job->IsActive()) {
     mPort.mAnswer(aCall, cancelled);
   } else {
-    mPort.mNote({ "job.cancel", { { "job", id.Value() } } });
+    mPort.mLogDecision({ "job.cancel", { { "job", id.Value() } } });
     ProposeAndAnswer(aCall, cancel_job{ id }, cancelled);
   }
 }
 
 bool
-leading::IsWorkerChanged(const worker_facts& aFacts,
-                         bool aDraining,
-                         worker_number aNumber) const
+leader_core::IsWorkerChanged(const worker_description& aFacts,
+                             bool aDraining,
+                             worker_number aNumber) const
 {
   const worker_record& known = *mState.FindWorker(aNumber);
   return (aDraining && !known.mDraining) ||
-         aFacts.mAddress != known.mFacts.mAddress ||
-         aFacts.mService != known.mFacts.mService ||
-         aFacts.mCapacity != known.mFacts.mCapacity;
+         aFacts.mAddress != known.mDescription.mAddress ||
+         aFacts.mService != known.mDescription.mService ||
+         aFacts.mCapacity != known.mDescription.mCapacity;
 }
 
 void
-leading::On(call_number aCall, const worker_beat& aBeat)
+leader_core::On(call_number aCall, const worker_heartbeat& aBeat)
 {
-  const worker_number number = mState.NumberOf(aBeat.mFacts.mId);
+  const worker_number number = mState.NumberOf(aBeat.mDescription.mId);
   if (number == 0) {
-    Register(aCall, aBeat, aBeat.mFacts);
+    Register(aCall, aBeat, aBeat.mDescription);
     return;
   }
   const std::int64_t born = BornOf(number);
-  const bool isOld =
-    aBeat.mFacts.mBornMs == born && aBeat.mNumber < mKeeper.NewestBeat(number);
-  if (aBeat.mFacts.mBornMs < born || isOld) {
+  const bool isOld = aBeat.mDescription.mProcessStartMs == born &&
+                     aBeat.mSequence < mKeeper.LatestHeartbeatNumber(number);
+  if (aBeat.mDescription.mProcessStartMs < born || isOld) {
     // It was on its way for long: its sender is gone or has said more since; or
     // it isn't whole.
     NoteLateBeat(aBeat, number);
-    mPort.mAnswer(aCall, acknowledged{});
+    mPort.mAnswer(aCall, acknowledgement{});
     return;
   }
-  if (aBeat.mFacts.mBornMs > born) {
+  if (aBeat.mDescription.mProcessStartMs > born) {
     NoteRestart(number);
-    mKeeper.KeepCheckpoints(number);
-    mKeeper.LifeIsOver(number, "restart", mAt.mNow);
+    mKeeper.SaveCheckpoints(number);
+    mKeeper.OnIncarnationEnded(number, "restart", mAt.mNow);
     PumpKeeper();
-    Register(aCall, aBeat, aBeat.mFacts);
+    Register(aCall, aBeat, aBeat.mDescription);
     return;
   }
-  const worker_facts facts = FactsOf(aBeat, number);
-  mKeeper.Heard(number, aBeat.mNumber, aBeat.mClockMs, mAt.mNow);
+  const worker_description facts = FactsOf(aBeat, number);
+  mKeeper.OnHeartbeat(number, aBeat.mSequence, aBeat.mClockMs, mAt.mNow);
   if (IsWorkerChanged(facts, aBeat.mDraining, number)) {
-    mKeeper.Changes(number);
+    mKeeper.OnUpdateProposed(number);
     Register(aCall, aBeat, facts);
   } else {
-    mPort.mAnswer(aCall, acknowledged{ IsLarge() });
+    mPort.mAnswer(aCall, acknowledgement{ IsLarge() });
   }
 }
 
 // The first heartbeat that a leader hears may be an old one, from before the
 // worker's room shrank: more room than is known counts by the next one.
-worker_facts
-leading::FactsOf(const worker_beat& aBeat, worker_number aNumber) const
+worker_description
+leader_core::FactsOf(const worker_heartbeat& aBeat, worker_number aNumber) const
 {
-  worker_facts facts = aBeat.mFacts;
-  if (mKeeper.NewestBeat(aNumber) < 0) {
-    facts.mCapacity = cell::Least(facts.mCapacity,
-                                  mState.FindWorker(aNumber)->mFacts.mCapacity);
+  worker_description facts = aBeat.mDescription;
+  if (mKeeper.LatestHeartbeatNumber(aNumber) < 0) {
+    facts.mCapacity = cell::Least(
+      facts.mCapacity, mState.FindWorker(aNumber)->mDescription.mCapacity);
   }
   return facts;
 }
 
 void
-leading::Register(call_number aCall,
-                  const worker_beat& aBeat,
-                  worker_facts aFacts)
+leader_core::Register(call_number aCall,
+                      const worker_heartbeat& aBeat,
+                      worker_description aFacts)
 {
   const worker_number number = mState.NumberOf(aFacts.mId);
   decltype(decision::mFields) fields{
@@ -234,64 +235,65 @@
     { "draining", aBeat.mDraining ? "yes" : "no" },
     { "processors_m", std::to_string(aFacts.mCapacity.mMilliProcessors) },
     { "memory_mb", std::to_string(aFacts.mCapacity.mMemoryMb) },
-    { "born", std::to_string(aFacts.mBornMs) },
-    { "beat", std::to_string(aBeat.mNumber) },
+    { "born", std::to_string(aFacts.mProcessStartMs) },
+    { "beat", std::to_string(aBeat.mSequence) },
   };
   if (number == 0) {
-    mPort.mNote({ "worker.new", std::move(fields) });
+    mPort.mLogDecision({ "worker.new", std::move(fields) });
   } else {
-    mPort.mNote({ "worker.changed", std::move(fields) });
+    mPort.mLogDecision({ "worker.changed", std::move(fields) });
   }
   ProposeAndAnswer(aCall,
                    register_worker{ std::move(aFacts), aBeat.mDraining },
-                   acknowledged{ IsLarge() });
+                   acknowledgement{ IsLarge() });
 }
 
 std::int64_t
-leading::BornOf(worker_number aWorker) const
+leader_core::BornOf(worker_number aWorker) const
 {
-  return mState.FindWorker(aWorker)->mFacts.mBornMs;
+  return mState.FindWorker(aWorker)->mDescription.mProcessStartMs;
 }
 
 void
-leading::NoteLateBeat(const worker_beat& aBeat, worker_number aKnown)
+leader_core::NoteLateBeat(const worker_heartbeat& aBeat, worker_number aKnown)
 {
-  mPort.mNote({ "worker.late_beat",
-                { { "worker", aBeat.mFacts.mId.Value() },
-                  { "born", std::to_string(aBeat.mFacts.mBornMs) },
-                  { "known_born", std::to_string(BornOf(aKnown)) },
-                  { "beat", std::to_string(aBeat.mNumber) } } });
+  mPort.mLogDecision(
+    { "worker.late_beat",
+      { { "worker", aBeat.mDescription.mId.Value() },
+        { "born", std::to_string(aBeat.mDescription.mProcessStartMs) },
+        { "known_born", std::to_string(BornOf(aKnown)) },
+        { "beat", std::to_string(aBeat.mSequence) } } });
 }
 
 void
-leading::NoteRestart(worker_number aKnown)
+leader_core::NoteRestart(worker_number aKnown)
 {
-  mPort.mNote(
+  mPort.mLogDecision(
     { "worker.restarted",
-      { { "worker", mState.FindWorker(aKnown)->mFacts.mId.Value() },
+      { { "worker", mState.FindWorker(aKnown)->mDescription.mId.Value() },
         { "known_born", std::to_string(BornOf(aKnown)) },
-        { "runs", std::to_string(mState.PlacedAt(aKnown).size()) } } });
+        { "runs", std::to_string(mState.RunsAt(aKnown).size()) } } });
 }
 
 void
-leading::On(call_number aCall, const beat_summary& aSummary)
+leader_core::On(call_number aCall, const heartbeat_summary& aSummary)
 {
   unknown_workers unknown;
-  for (const beat_note& note : aSummary.mNotes) {
+  for (const heartbeat_digest& note : aSummary.mDigests) {
     const worker_number number = mState.NumberOf(note.mId);
-    if (number == 0 || BornOf(number) != note.mBornMs) {
+    if (number == 0 || BornOf(number) != note.mProcessStartMs) {
       unknown.mIds.push_back(note.mId); // its next heartbeat comes whole
     } else {
-      mKeeper.Heard(number, note.mNumber, note.mClockMs, mAt.mNow);
+      mKeeper.OnHeartbeat(number, note.mSequence, note.mClockMs, mAt.mNow);
     }
   }
   mPort.mAnswer(aCall, std::move(unknown));
 }
 
 bool
-leading::IsLarge() const
+leader_core::IsLarge() const
 {
-  return mState.Workers().size() > mOptions.mWorkersAlone;
+  return mState.Workers().size() > mOptions.mMaxWorkersWithoutRelays;
 }
 
 // A farewell that was held up must not end the next life: its tasks would start
@@ -299,68 +301,70 @@
 // worker that drains, as one does before it leaves; any other's next look
 // tells.
 bool
-leading::IsOfEarlierLife(const worker_farewell& aFarewell,
-                         const worker_record& aKnown)
+leader_core::IsOfEarlierLife(const worker_deregistration& aFarewell,
+                             const worker_record& aKnown)
 {
-  if (aFarewell.mBornMs == 0) {
-    return aKnown.mFacts.mBornMs != 0 && !aKnown.mDraining;
+  if (aFarewell.mProcessStartMs == 0) {
+    return aKnown.mDescription.mProcessStartMs != 0 && !aKnown.mDraining;
   }
-  return aFarewell.mBornMs < aKnown.mFacts.mBornMs;
+  return aFarewell.mProcessStartMs < aKnown.mDescription.mProcessStartMs;
 }
 
 void
-leading::On(call_number aCall, const worker_farewell& aFarewell)
+leader_core::On(call_number aCall, const worker_deregistration& aFarewell)
 {
   const worker_number number = mState.NumberOf(aFarewell.mId);
   if (number == 0 || IsOfEarlierLife(aFarewell, *mState.FindWorker(number))) {
-    mPort.mAnswer(aCall, acknowledged{});
+    mPort.mAnswer(aCall, acknowledgement{});
     return;
   }
-  mPort.mNote({ "worker.left",
-                { { "worker", aFarewell.mId.Value() },
-                  { "born", std::to_string(aFarewell.mBornMs) } } });
-  mKeeper.KeepCheckpoints(number);
+  mPort.mLogDecision(
+    { "worker.left",
+      { { "worker", aFarewell.mId.Value() },
+        { "born", std::to_string(aFarewell.mProcessStartMs) } } });
+  mKeeper.SaveCheckpoints(number);
   PumpKeeper();
-  ProposeAndAnswer(aCall, remove_worker{ number }, acknowledged{});
+  ProposeAndAnswer(aCall, remove_worker{ number }, acknowledgement{});
 }
 
 void
-leading::On(call_number aCall, const table_change& aChange)
+leader_core::On(call_number aCall, const table_change& aChange)
 {
-  mPort.mNote({ "table.put",
-                { { "version", std::to_string(aChange.mTable.mVersion) },
-                  { "held", std::to_string(mState.Table().mVersion) } } });
+  mPort.mLogDecision(
+    { "table.put",
+      { { "version", std::to_string(aChange.mTable.mVersion) },
+        { "held", std::to_string(mState.Table().mVersion) } } });
   if (aChange.mTable.mVersion <= mState.Table().mVersion) {
-    mPort.mAnswer(aCall, acknowledged{});
+    mPort.mAnswer(aCall, acknowledgement{});
     return;
   }
   ProposeAndAnswer(
-    aCall, put_table{ aChange.mTable, aChange.mSource }, acknowledged{});
+    aCall, put_table{ aChange.mTable, aChange.mSource }, acknowledgement{});
 }
 
 void
-leading::On(call_number aCall, const table_read& /*aRead*/)
+leader_core::On(call_number aCall, const table_read& /*aRead*/)
 {
   mPort.mAnswer(aCall, table_source{ mState.TableSource() });
 }
 
 void
-leading::On(call_number aCall, const join_request& aJoin)
+leader_core::On(call_number aCall, const join_request& aJoin)
 {
   // The flow core has seen to its membership. A spare carries questions to the
   // policy service as entries do.
   mEntries[aJoin.mAddress] = mAt.mNow;
   mSpares[aJoin.mAddress] = mAt.mNow;
   mPort.mAnswer(aCall,
-                beat_answer{ mState.Table().mVersion,
-                             mState.Table().mLimits,
-                             mPort.mMembers() });
+                entry_heartbeat_answer{ mState.Table().mVersion,
+                                        mState.Table().mLimits,
+                                        mPort.mMembers() });
 }
 
 void
-leading::On(call_number aCall, const leader_probe& /*aProbe*/)
+leader_core::On(call_number aCall, const leader_probe& /*aProbe*/)
 {
-  mPort.mAnswer(aCall, acknowledged{});
+  mPort.mAnswer(aCall, acknowledgement{});
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/leader_core.cc
+++ b/oriolewalk/flow/leader_core.cc
@@ -34,48 +34,49 @@
     case job_state::Active:
       break;
   }
-  return aJob.mBegun ? "running" : "queued";
+  return aJob.mHasStarted ? "running" : "queued";
 }
 
-leading::leading(const flow_state& aState,
-                 flow_options aOptions,
-                 leading_port aPort,
-                 std::uint64_t aTerm,
-                 instant aAt,
-                 time_point aLedUntil)
+leader_core::leader_core(const flow_state& aState,
+                         flow_options aOptions,
+                         leader_port aPort,
+                         std::uint64_t aTerm,
+                         instant aAt,
+                         time_point aLedUntil)
   : mState(aState)
   , mOptions(aOptions)
   , mPort(std::move(aPort))
   , mAt(aAt)
   , mKeeper(aState, aOptions, aTerm, aAt.mNow, aLedUntil)
-  , mCarriers(aOptions.mWorkersAlone)
-  , mLastQuestion(NumberBefore(aTerm))
+  , mCarriers(aOptions.mMaxWorkersWithoutRelays)
+  , mLastQuestion(OrderIdBase(aTerm))
 {
 }
 
 void
-leading::Applied(const command_body& aCommand, const apply_outcome& aOutcome)
+leader_core::OnApplied(const command_body& aCommand,
+                       const apply_outcome& aOutcome)
 {
-  mPace.Changed(ConcernsFirst(aCommand));
+  mPace.OnChange(ConcernsFirst(aCommand));
   if (const auto* worker = std::get_if<register_worker>(&aCommand)) {
-    ForgetWorker(aOutcome.mFormerLife);
-    mKeeper.Registered(mState.NumberOf(worker->mFacts.mId), mAt.mNow);
+    ForgetWorker(aOutcome.mPreviousIncarnation);
+    mKeeper.OnRegistered(mState.NumberOf(worker->mDescription.mId), mAt.mNow);
   } else if (const auto* gone = std::get_if<remove_worker>(&aCommand)) {
     ForgetWorker(gone->mWorker);
   } else if (const auto* ends = std::get_if<end_runs>(&aCommand)) {
-    mKeeper.EndsApplied(ends->mWorker, mAt.mNow);
+    mKeeper.OnEndsApplied(ends->mWorker, mAt.mNow);
     LearnFrom(*ends);
     NoteEnds(*ends);
   } else if (const auto* dropped = std::get_if<drop_runs>(&aCommand)) {
-    mKeeper.RunsDropped(dropped->mWorker);
-  } else if (const auto* lost = std::get_if<lose_runs>(&aCommand)) {
-    mKeeper.RunsDropped(lost->mWorker);
-    mProbation.Lost(lost->mRuns, mAt.mNow);
+    mKeeper.OnRunsDropped(dropped->mWorker);
+  } else if (const auto* lost = std::get_if<mark_runs_lost>(&aCommand)) {
+    mKeeper.OnRunsDropped(lost->mWorker);
+    mProbation.OnRunsLost(lost->mRuns, mAt.mNow);
   }
-  NoteGivenUp(aOutcome.mGivenUp);
-  for (const job_id& id : aOutcome.mEnded) {
+  NoteGivenUp(aOutcome.mAbandonedTasks);
+  for (const job_id& id : aOutcome.mEndedJobs) {
     const job_record* job = mState.FindJob(id);
-    mPort.mNote(
+    mPort.mLogDecision(
       { "job.ended",
         { { "job", id.Value() },
           { "state", std::string(StateName(*job)) },
@@ -84,7 +85,7 @@
     mAdvice.Forget(id);
     mStragglers.Forget(id);
     mProbation.Forget(id);
-    EraseFrom(mYields, { id, 0, 0, 0 }, [&](const task_ref& aTask) {
+    EraseWhile(mYields, { id, 0, 0, 0 }, [&](const task_ref& aTask) {
       return aTask.mJob == id;
     });
     StopRuns(id, *job);
@@ -92,18 +93,18 @@
 }
 
 void
-leading::ForgetWorker(worker_number aWorker)
+leader_core::ForgetWorker(worker_number aWorker)
 {
-  mKeeper.Removed(aWorker);
+  mKeeper.OnRemoved(aWorker);
   mHealth.Forget(aWorker);
   mSharing.Forget(aWorker);
 }
 
 void
-leading::OrderAnswered(std::uint64_t aOrder, const order_answer& aAnswer)
+leader_core::OnOrderAnswer(std::uint64_t aOrder, const order_answer& aAnswer)
 {
-  mKeeper.Answered(aOrder, aAnswer, mAt.mNow);
-  for (const run_start& refused : mKeeper.TakeTicketsRefused()) {
+  mKeeper.OnAnswer(aOrder, aAnswer, mAt.mNow);
+  for (const run_start& refused : mKeeper.TakeTicketRefusals()) {
     const task_ref& task = refused.mRun.mTask;
     mAdvice.Expire({ task.mJob, task.mOccurrence, task.mStep },
                    refused.mWorker);
@@ -112,22 +113,22 @@
 }
 
 void
-leading::PumpKeeper()
+leader_core::PumpKeeper()
 {
-  std::ranges::for_each(mKeeper.TakeNotes(), mPort.mNote);
+  std::ranges::for_each(mKeeper.TakeDecisions(), mPort.mLogDecision);
   for (command_body& body : mKeeper.TakeCommands()) {
     const auto* ends = std::get_if<end_runs>(&body);
     const worker_number worker = ends == nullptr ? 0 : ends->mWorker;
     if (!mPort.mPropose(std::move(body), {}) && worker != 0) {
-      mKeeper.EndsApplied(worker, mAt.mNow); // the next look lists them again
+      mKeeper.OnEndsApplied(worker, mAt.mNow); // the next look lists them again
     }
   }
 }
 
 void
-leading::Tick()
+leader_core::Tick()
 {
-  mPace.Ticked(mAt.mNow);
+  mPace.OnTick(mAt.mNow);
   mKeeper.Tick(mAt.mNow);
   PumpKeeper();
   if (mAt.mNow >= mSweptAt + kSweepEvery) {
@@ -147,24 +148,25 @@
 }
 
 void
-leading::OpenDue()
+leader_core::OpenDue()
 {
-  for (const auto& [id, record] : mState.Live()) {
+  for (const auto& [id, record] : mState.LiveJobs()) {
     const job_record& job = *record;
     const recurrence& times = job.mSpec.mRecurrence;
-    if (job.IsActive() && job.mNextOccurrence < times.mTimes &&
+    if (job.IsActive() && job.mNextOccurrence < times.mRepeatCount &&
         mAt.mWallMs >=
-          times.mFirstWallMs + job.mNextOccurrence * times.mEveryMs) {
+          times.mFirstWallMs + job.mNextOccurrence * times.mPeriodMs) {
       Propose(open_occurrence{ id, job.mNextOccurrence });
     }
   }
 }
 
 void
-leading::ForgetOld()
+leader_core::ForgetOld()
 {
-  const std::int64_t before =
-    mAt.mWallMs - mOptions.mShowEnded.count() - mOptions.mShowMargin.count();
+  const std::int64_t before = mAt.mWallMs -
+                              mOptions.mEndedJobRetention.count() -
+                              mOptions.mWallClockMargin.count();
   forget_jobs old;
   for (const auto& [id, job] : mState.Jobs()) {
     if (!job.IsActive() && job.mEndedWallMs < before) {
@@ -177,21 +179,21 @@
 }
 
 std::vector<worker_order>
-leading::TakeOrders()
+leader_core::TakeOrders()
 {
   std::vector<worker_order> orders = mKeeper.TakeOrders();
   for (worker_order& order : orders) {
-    order.mCarrier = mCarriers.For(order.mWorker);
+    order.mRelay = mCarriers.RelayFor(order.mWorker);
   }
   return orders;
 }
 
 std::vector<std::string>
-leading::OtherControls() const
+leader_core::OtherControls() const
 {
   std::vector<std::string> others;
   for (const auto& [address, heard] : mSpares) {
-    if (mAt.mNow < heard + kEntrySilence) {
+    if (mAt.mNow < heard + kEntryTimeout) {
       others.push_back(address);
     }
   }
@@ -203,23 +205,24 @@
 }
 
 void
-leading::ChooseCarriers()
+leader_core::ChooseCarriers()
 {
-  const std::vector<std::string> before = mCarriers.Carriers();
+  const std::vector<std::string> before = mCarriers.Relays();
   mCarriers.Update(OtherControls(), mState.Workers().size(), mAt.mNow);
-  if (mCarriers.Carriers() != before) {
-    mPort.mNote({ "carriers.changed",
-                  { { "before", std::to_string(before.size()) },
-                    { "now", std::to_string(mCarriers.Carriers().size()) },
-                    { "workers", std::to_string(mState.Workers().size()) } } });
+  if (mCarriers.Relays() != before) {
+    mPort.mLogDecision(
+      { "carriers.changed",
+        { { "before", std::to_string(before.size()) },
+          { "now", std::to_string(mCarriers.Relays().size()) },
+          { "workers", std::to_string(mState.Workers().size()) } } });
   }
 }
 
 void
-leading::CarrierFailed(const std::string& aAddress)
+leader_core::OnRelayFailure(const std::string& aAddress)
 {
-  mPort.mNote({ "carrier.failed", { { "carrier", aAddress } } });
-  mCarriers.Failed(aAddress, mAt.mNow);
+  mPort.mLogDecision({ "carrier.failed", { { "carrier", aAddress } } });
+  mCarriers.OnRelayFailure(aAddress, mAt.mNow);
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/leader_core.h
+++ b/oriolewalk/flow/leader_core.h
@@ -53,57 +53,57 @@
 };
 
 // A question for an advisor to carry.
-struct advice_order
+struct advice_call
 {
   std::uint64_t mId = 0;
   std::string mAdvisor; // RPC address; our own: carried here
   advice_request mRequest;
 };
 
-struct leading_port
+struct leader_port
 {
   using on_applied = std::function<void(const apply_outcome&)>;
   // False: not proposed, nothing will come of it.
   std::function<bool(command_body, on_applied)> mPropose;
   std::function<void(call_number, flow_answer)> mAnswer;
   std::function<void(call_number, error)> mFail;
-  std::function<void(decision)> mNote;
+  std::function<void(decision)> mLogDecision;
   // RPC addresses of the control processes that are heard, our own among them.
   std::function<std::vector<std::string>()> mMembers;
 };
 
 // An entry or a spare that was silent for so long carries nothing: three beats.
-inline constexpr milliseconds kEntrySilence{ 1'600 };
+inline constexpr milliseconds kEntryTimeout{ 1'600 };
 
 // "queued", "running", "done", "failed" or "cancelled".
 std::string_view
 StateName(const job_record& aJob);
 
-class leading
+class leader_core
 {
 public:
   // aLedUntil: as worker_keeper's.
-  leading(const flow_state& aState,
-          flow_options aOptions,
-          leading_port aPort,
-          std::uint64_t aTerm,
-          instant aAt,
-          time_point aLedUntil);
+  leader_core(const flow_state& aState,
+              flow_options aOptions,
+              leader_port aPort,
+              std::uint64_t aTerm,
+              instant aAt,
+              time_point aLedUntil);
 
   void SetTime(instant aAt) { mAt = aAt; }
-  void Ask(call_number aCall, const flow_request& aRequest);
+  void HandleRequest(call_number aCall, const flow_request& aRequest);
   // A command was applied, whoever proposed it.
-  void Applied(const command_body& aCommand, const apply_outcome& aOutcome);
-  void OrderAnswered(std::uint64_t aOrder, const order_answer& aAnswer);
-  void AdviceAnswered(std::uint64_t aOrder, const result<approvals>& aAnswer);
+  void OnApplied(const command_body& aCommand, const apply_outcome& aOutcome);
+  void OnOrderAnswer(std::uint64_t aOrder, const order_answer& aAnswer);
+  void OnAdviceAnswer(std::uint64_t aOrder, const result<approvals>& aAnswer);
   // Orders could not be handed over to this control process.
-  void CarrierFailed(const std::string& aAddress);
+  void OnRelayFailure(const std::string& aAddress);
   void Tick();
   // Plans, if anything has changed. After a batch of events.
-  void Decide();
+  void PlanIfDue();
 
   std::vector<worker_order> TakeOrders();
-  std::vector<advice_order> TakeQuestions();
+  std::vector<advice_call> TakeAdviceCalls();
 
 private:
   struct open_question
@@ -117,19 +117,19 @@
     bool mFirst = false; // of a queue that comes first
   };
 
-  void On(call_number aCall, const entry_beat& aBeat);
+  void On(call_number aCall, const entry_heartbeat& aBeat);
   void On(call_number aCall, const job_submission& aJob);
   void On(call_number aCall, const job_query& aQuery);
   void On(call_number aCall, const job_cancellation& aCancel);
-  void On(call_number aCall, const worker_beat& aBeat);
-  void On(call_number aCall, const beat_summary& aSummary);
-  void On(call_number aCall, const worker_farewell& aFarewell);
+  void On(call_number aCall, const worker_heartbeat& aBeat);
+  void On(call_number aCall, const heartbeat_summary& aSummary);
+  void On(call_number aCall, const worker_deregistration& aFarewell);
   void On(call_number aCall, const table_change& aChange);
   void On(call_number aCall, const table_read& aRead);
   void On(call_number aCall, const join_request& aJoin);
   void On(call_number aCall, const leader_probe& aProbe);
 
-  void Propose(command_body aBody, leading_port::on_applied aThen = {});
+  void Propose(command_body aBody, leader_port::on_applied aThen = {});
   // Proposes; the call is answered with aAnswer once it is applied.
   void ProposeAndAnswer(call_number aCall,
                         command_body aBody,
@@ -164,9 +164,9 @@
   void NoteWaits(const plan_result& aPlan);
   void NoteShortage(const plan_result& aPlan, std::size_t aWorkers);
   void Start(std::vector<planned_start> aStarts);
-  void MakeWay(const std::vector<planned_stop>& aStops);
+  void MakeWay(const std::vector<planned_preemption>& aStops);
   void ForgetYielded();
-  void AskPolicy(const question& aQuestion);
+  void AskPolicy(const advice_query& aQuestion);
   [[nodiscard]] std::vector<std::string> FreeAdvisors() const;
   // Control processes that are heard, but for this one; spares first, since
   // they neither vote nor store.
@@ -178,31 +178,32 @@
   [[nodiscard]] advisor_load AdvisorLoad();
   // Of a worker that is known: as in worker_facts.
   [[nodiscard]] std::int64_t BornOf(worker_number aWorker) const;
-  void NoteLateBeat(const worker_beat& aBeat, worker_number aKnown);
+  void NoteLateBeat(const worker_heartbeat& aBeat, worker_number aKnown);
   void NoteRestart(worker_number aKnown);
-  [[nodiscard]] static bool IsOfEarlierLife(const worker_farewell& aFarewell,
-                                            const worker_record& aKnown);
-  [[nodiscard]] bool IsWorkerChanged(const worker_facts& aFacts,
+  [[nodiscard]] static bool IsOfEarlierLife(
+    const worker_deregistration& aFarewell,
+    const worker_record& aKnown);
+  [[nodiscard]] bool IsWorkerChanged(const worker_description& aFacts,
                                      bool aDraining,
                                      worker_number aNumber) const;
   // What a heartbeat of a known life says of its worker.
-  [[nodiscard]] worker_facts FactsOf(const worker_beat& aBeat,
-                                     worker_number aNumber) const;
+  [[nodiscard]] worker_description FactsOf(const worker_heartbeat& aBeat,
+                                           worker_number aNumber) const;
   void Register(call_number aCall,
-                const worker_beat& aBeat,
-                worker_facts aFacts);
+                const worker_heartbeat& aBeat,
+                worker_description aFacts);
 
   const flow_state& mState;
   flow_options mOptions;
-  leading_port mPort;
+  leader_port mPort;
   instant mAt;
-  worker_keeper mKeeper;
-  advice_book mAdvice;
+  worker_supervisor mKeeper;
+  advice_cache mAdvice;
   worker_health mHealth;
-  straggler_watch mStragglers;
-  wait_account mWaits;
-  sharing_control mSharing;
-  plan_pace mPace;
+  straggler_detector mStragglers;
+  wait_tracker mWaits;
+  interference_control mSharing;
+  plan_timer mPace;
   std::size_t mFirstWaiting = 0; // tasks of the first queues, in the last plan
   time_point mShortNotedAt{};
   time_point mSweptAt{};
@@ -213,11 +214,11 @@
   std::map<run_ref, std::string> mTickets; // of proposed starts
   // Runs that were told to give way and may still be under way, and where.
   std::map<run_ref, worker_number> mYielding;
-  yield_records mYields;
-  probation mProbation;
+  preemption_records mYields;
+  suspect_isolation mProbation;
   std::map<std::string, time_point> mEntries;
   std::map<std::string, time_point> mSpares; // control processes, not members
-  carrier_choice mCarriers;
+  relay_assignment mCarriers;
   std::map<std::string, time_point> mAsideUntil; // advisors
   std::map<std::uint64_t, open_question> mOpenQuestions;
   std::set<step_ref> mAsking;
@@ -226,7 +227,7 @@
   time_point mAskedAllAt{};
   recent_peak mFirstPeak; // questions of the first queues at a time
   std::uint64_t mLastQuestion;
-  std::vector<advice_order> mQuestions;
+  std::vector<advice_call> mQuestions;
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/leader_log.cc
+++ b/oriolewalk/flow/leader_log.cc
@@ -38,16 +38,16 @@
                : "");
     const auto wishes = std::to_array<std::pair<bool, std::string_view>>({
       { step.mGang, ",gang" },
-      { step.mLasting, ",lasting" },
-      { step.mFills, ",fills" },
-      { step.mCopies, ",copies" },
+      { step.mLongRunning, ",lasting" },
+      { step.mBestEffort, ",fills" },
+      { step.mAllowsCopies, ",copies" },
       { step.mCheckpoints, ",checkpoints" },
       { step.mSameRack, ",one-rack" },
       { !step.mDataRack.empty(), ",near-data" },
       { !step.mLabel.empty(), ",label" },
-      { step.mMostPerWorker > 0, ",apart" },
-      { step.mTailTargetMs > 0, ",tail-target" },
-      { step.mLimitsMisses, ",may-miss" },
+      { step.mMaxPerWorker > 0, ",apart" },
+      { step.mTailLatencyTargetMs > 0, ",tail-target" },
+      { step.mHasMaxMisses, ",may-miss" },
       { !step.mDependsOn.empty(), ",after" },
     });
     for (const auto& [holds, word] : wishes) {
@@ -60,11 +60,11 @@
 } // namespace
 
 void
-leading::NoteAccepted(const std::string& aId,
-                      const queue_row& aQueue,
-                      const job_spec& aSpec)
+leader_core::NoteAccepted(const std::string& aId,
+                          const queue_row& aQueue,
+                          const job_spec& aSpec)
 {
-  mPort.mNote(
+  mPort.mLogDecision(
     { "job.accepted",
       { { "job", aId },
         { "queue", aQueue.mName },
@@ -77,9 +77,9 @@
 // One line for each step that waited, once it has its places: for what, and for
 // how long.
 void
-leading::NoteWaits(const plan_result& aPlan)
+leader_core::NoteWaits(const plan_result& aPlan)
 {
-  for (const ended_wait& wait : mWaits.Note(aPlan.mWaits, mAt.mNow)) {
+  for (const ended_wait& wait : mWaits.Update(aPlan.mWaits, mAt.mNow)) {
     const auto& times = wait.mTimes;
     if (std::accumulate(times.begin(), times.end(), duration::zero()) <
         kLeastNotedWait) {
@@ -93,20 +93,20 @@
                             std::to_string(ToMs(times.at(cause))));
       }
     }
-    mPort.mNote({ "step.waited", std::move(fields) });
+    mPort.mLogDecision({ "step.waited", std::move(fields) });
   }
 }
 
 // Why work waits, once a second while it does: a line for all, and one for each
 // queue with its tasks by cause.
 void
-leading::NoteShortage(const plan_result& aPlan, std::size_t aWorkers)
+leader_core::NoteShortage(const plan_result& aPlan, std::size_t aWorkers)
 {
   if (aPlan.mWaiting == 0 || mAt.mNow < mShortNotedAt + kShortNoteEvery) {
     return;
   }
   mShortNotedAt = mAt.mNow;
-  mPort.mNote(
+  mPort.mLogDecision(
     { "plan.short",
       { { "waiting", std::to_string(aPlan.mWaiting) },
         { "urgent", std::to_string(aPlan.mUrgentWaiting) },
@@ -114,8 +114,9 @@
         { "free_processors_m", std::to_string(aPlan.mFree.mMilliProcessors) },
         { "free_memory_mb", std::to_string(aPlan.mFree.mMemoryMb) },
         { "free_accelerators", std::to_string(aPlan.mFree.mAccelerators) },
-        { "held_processors_m", std::to_string(aPlan.mHeld.mMilliProcessors) },
-        { "held_accelerators", std::to_string(aPlan.mHeld.mAccelerators) },
+        { "held_processors_m",
+          std::to_string(aPlan.mReserved.mMilliProcessors) },
+        { "held_accelerators", std::to_string(aPlan.mReserved.mAccelerators) },
         { "yielding", std::to_string(mYielding.size()) },
         { "asking", std::to_string(mAsking.size()) } } });
   std::map<std::string_view, std::map<wait_cause, std::size_t>> queues;
@@ -127,7 +128,7 @@
     for (const auto& [cause, tasks] : causes) {
       fields.emplace_back(ToString(cause), std::to_string(tasks));
     }
-    mPort.mNote({ "queue.short", std::move(fields) });
+    mPort.mLogDecision({ "queue.short", std::move(fields) });
   }
 }
 
@@ -135,7 +136,7 @@
 // same attempt: "17@WORKER 18@WORKER". A line for each start alone is half of
 // all lines, 1,200 a second at 1,100 workers.
 void
-leading::NoteStarts(const std::vector<run_start>& aStarts)
+leader_core::NoteStarts(const std::vector<run_start>& aStarts)
 {
   std::map<std::pair<step_ref, attempt_t>, std::string> lines;
   for (const run_start& start : aStarts) {
@@ -143,36 +144,37 @@
     std::string& runs = lines[{ { task.mJob, task.mOccurrence, task.mStep },
                                 start.mRun.mAttempt }];
     runs += (runs.empty() ? "" : " ") + std::to_string(task.mIndex) + "@" +
-            mState.FindWorker(start.mWorker)->mFacts.mId.Value();
+            mState.FindWorker(start.mWorker)->mDescription.mId.Value();
   }
   for (auto& [of, runs] : lines) {
-    mPort.mNote({ "run.start",
-                  { { "job", of.first.mJob.Value() },
-                    { "step", std::to_string(of.first.mStep) },
-                    { "attempt", std::to_string(of.second) },
-                    { "runs", std::move(runs) } } });
+    mPort.mLogDecision({ "run.start",
+                         { { "job", of.first.mJob.Value() },
+                           { "step", std::to_string(of.first.mStep) },
+                           { "attempt", std::to_string(of.second) },
+                           { "runs", std::move(runs) } } });
   }
 }
 
 void
-leading::NoteGivenUp(const std::vector<task_ref>& aTasks)
+leader_core::NoteGivenUp(const std::vector<task_ref>& aTasks)
 {
   for (const task_ref& task : aTasks) {
     const crash_record& record = *mState.Crashes().Find(task);
-    mPort.mNote({ "task.crashes_workers",
-                  { { "job", task.mJob.Value() },
-                    { "step", std::to_string(task.mStep) },
-                    { "task", std::to_string(task.mIndex) },
-                    { "crashes", std::to_string(record.mCrashes) },
-                    { "suspected", std::to_string(record.mSuspected) },
-                    { "unknown", std::to_string(record.mUnknown) } } });
+    mPort.mLogDecision(
+      { "task.crashes_workers",
+        { { "job", task.mJob.Value() },
+          { "step", std::to_string(task.mStep) },
+          { "task", std::to_string(task.mIndex) },
+          { "crashes", std::to_string(record.mCrashes) },
+          { "suspected", std::to_string(record.mSuspectedCrashes) },
+          { "unknown", std::to_string(record.mUnexplainedLosses) } } });
   }
 }
 
 // A line for each end that isn't done, and one for each step that is: the ends
 // as done of a step's tasks tell nothing more, and are most of all.
 void
-leading::NoteEnds(const end_runs& aEnds)
+leader_core::NoteEnds(const end_runs& aEnds)
 {
   std::set<step_ref> done;
   for (const run_end& end : aEnds.mEnds) {
@@ -182,18 +184,19 @@
       continue;
     }
     if (end.mOutcome != run_outcome::Done) {
-      mPort.mNote({ "run.ended",
-                    { { "job", task.mJob.Value() },
-                      { "step", std::to_string(task.mStep) },
-                      { "task", std::to_string(task.mIndex) },
-                      { "attempt", std::to_string(end.mRun.mAttempt) },
-                      { "how", std::string(ToString(end.mOutcome)) } } });
+      mPort.mLogDecision(
+        { "run.ended",
+          { { "job", task.mJob.Value() },
+            { "step", std::to_string(task.mStep) },
+            { "task", std::to_string(task.mIndex) },
+            { "attempt", std::to_string(end.mRun.mAttempt) },
+            { "how", std::string(ToString(end.mOutcome)) } } });
     } else if (step->IsDone() &&
                done.insert({ task.mJob, task.mOccurrence, task.mStep })
                  .second) {
-      mPort.mNote({ "step.done",
-                    { { "job", task.mJob.Value() },
-                      { "step", std::to_string(task.mStep) } } });
+      mPort.mLogDecision({ "step.done",
+                           { { "job", task.mJob.Value() },
+                             { "step", std::to_string(task.mStep) } } });
     }
   }
 }
--- a/oriolewalk/flow/leader_plans.cc
+++ b/oriolewalk/flow/leader_plans.cc
@@ -42,7 +42,7 @@
 } // namespace
 
 std::vector<plan_worker>
-leading::UsableWorkers() const
+leader_core::UsableWorkers() const
 {
   std::vector<plan_worker> workers;
   workers.reserve(mState.Workers().size());
@@ -50,17 +50,17 @@
     if (worker.mDraining || !mKeeper.IsUsable(number, mAt.mNow)) {
       continue;
     }
-    const placed_amounts placed = mState.AmountsAt(number);
+    const placed_totals placed = mState.TotalsAt(number);
     plan_worker& planned = workers.emplace_back();
     planned.mNumber = number;
-    planned.mFacts = &worker.mFacts;
-    planned.mFree = worker.mFacts.mCapacity - placed.mBooked;
-    const worker_standing standing = mHealth.StandingOf(number, mAt.mNow);
+    planned.mDescription = &worker.mDescription;
+    planned.mFree = worker.mDescription.mCapacity - placed.mBooked;
+    const worker_standing standing = mHealth.Standing(number, mAt.mNow);
     planned.mSpeed = standing.mSpeed;
     planned.mAvoided = standing.mAvoided;
-    planned.mServes = placed.mServing > 0;
-    planned.mFilled = placed.mFilling > 0;
-    planned.mLasts = placed.mLasting > 0;
+    planned.mRunsLatencySensitive = placed.mLatencySensitive > 0;
+    planned.mRunsBestEffort = placed.mBestEffort > 0;
+    planned.mRunsGangOrLongRunning = placed.mLongRunning > 0;
   }
   for (const auto& [number, room] : mProposedRoom) {
     if (plan_worker* worker = Find(workers, number)) {
@@ -69,7 +69,7 @@
   }
   for (const auto& [run, number] : mYielding) {
     if (plan_worker* worker = Find(workers, number)) {
-      worker->mLeaving += mState.FindStep(run.mTask)->Booked();
+      worker->mBeingFreed += mState.FindStep(run.mTask)->Booked();
     }
   }
   AvoidFew(workers);
@@ -77,26 +77,26 @@
 }
 
 plan_input
-leading::MakeInput(plan_scope aScope)
+leader_core::MakeInput(plan_scope aScope)
 {
   plan_input input;
   input.mState = &mState;
   input.mAdvice = &mAdvice;
   input.mWorkers = UsableWorkers();
   input.mProposed = &mProposed;
-  input.mAsking = &mAsking;
-  input.mNamed = &mNamed;
+  input.mOpenQueries = &mAsking;
+  input.mQueriedWorkers = &mNamed;
   if (mAt.mNow >= mAskedAllAt + kAskAllEvery) {
     mAskedAllAt = mAt.mNow;
     mNothingToAsk.clear();
   }
-  input.mNothingToAsk = &mNothingToAsk;
-  input.mYields = mYields;
-  input.mSuspicions = mProbation.Find(
+  input.mNothingToQuery = &mNothingToAsk;
+  input.mPreemptionRecords = mYields;
+  input.mSuspicions = mProbation.Summarize(
     mState,
     mProposed,
     [this](worker_number aWorker, const run_ref& aRun) {
-      return mKeeper.IsFresh(aWorker, aRun);
+      return mKeeper.IsNewlyStarted(aWorker, aRun);
     },
     mAt.mNow);
   input.mPolicy = mOptions.mPlan;
@@ -108,9 +108,9 @@
 }
 
 void
-leading::Decide()
+leader_core::PlanIfDue()
 {
-  const auto scope = mPace.Due(mState.Workers().size(), mAt.mNow);
+  const auto scope = mPace.DueScope(mState.Workers().size(), mAt.mNow);
   if (!scope) {
     return;
   }
@@ -123,25 +123,26 @@
     NoteWaits(plan);
     NoteShortage(plan, usable);
   }
-  mPace.Planned(*scope, plan.mWaiting, mAt.mNow);
-  mNothingToAsk.insert(plan.mNothingToAsk.begin(), plan.mNothingToAsk.end());
-  for (const question& asked : plan.mQuestions) {
+  mPace.OnPlanned(*scope, plan.mWaiting, mAt.mNow);
+  mNothingToAsk.insert(plan.mNothingToQuery.begin(),
+                       plan.mNothingToQuery.end());
+  for (const advice_query& asked : plan.mQueries) {
     AskPolicy(asked);
   }
-  MakeWay(plan.mStops);
+  MakeWay(plan.mPreemptions);
   if (!plan.mStarts.empty()) {
     Start(std::move(plan.mStarts));
   }
 }
 
 bool
-leading::ConcernsFirst(const command_body& aCommand) const
+leader_core::ConcernsFirst(const command_body& aCommand) const
 {
   const auto isFirst = [this](const run_ref& aRun) {
     const job_record* job = mState.FindJob(aRun.mTask.mJob);
     const step_spec* step = mState.FindStep(aRun.mTask);
     return job != nullptr && step != nullptr &&
-           IsFirst(mState.QueueOf(*job), *step);
+           IsTopPriority(mState.QueueOf(*job), *step);
   };
   return std::visit(
     overloaded{
--- a/oriolewalk/flow/leader_runs.cc
+++ b/oriolewalk/flow/leader_runs.cc
@@ -26,7 +26,7 @@
 } // namespace
 
 void
-leading::StopRuns(const job_id& aId, const job_record& aJob)
+leader_core::StopRuns(const job_id& aId, const job_record& aJob)
 {
   for (const auto& [number, occurrence] : aJob.mOccurrences) {
     for (std::uint32_t step = 0; step < occurrence.mSteps.size(); ++step) {
@@ -36,15 +36,16 @@
 }
 
 void
-leading::StopStep(const step_ref& aStep, const step_record& aRecord)
+leader_core::StopStep(const step_ref& aStep, const step_record& aRecord)
 {
   for (std::uint32_t index = 0; index < aRecord.mTasks.size(); ++index) {
     const task_record& task = aRecord.mTasks[index];
     if (task.mPhase == task_phase::Placed) {
-      mKeeper.WantStop(task.mWorker,
-                       { { aStep.mJob, aStep.mOccurrence, aStep.mStep, index },
-                         task.mAttempt },
-                       mAt.mNow);
+      mKeeper.RequestStop(
+        task.mWorker,
+        { { aStep.mJob, aStep.mOccurrence, aStep.mStep, index },
+          task.mAttempt },
+        mAt.mNow);
     }
   }
 }
@@ -52,65 +53,66 @@
 // Runs whose job has ended, also those that a start of just then began; and
 // gangs of which a member is missing.
 void
-leading::StopUnwanted()
+leader_core::StopUnwanted()
 {
-  for (const auto& [id, record] : mState.Live()) {
+  for (const auto& [id, record] : mState.LiveJobs()) {
     const job_record& job = *record;
     if (!job.IsActive()) {
       StopRuns(id, job);
-    } else if (job.mPlaced > 0) {
+    } else if (job.mPlacedRuns > 0) {
       StopBrokenGangs(id, job);
     }
   }
 }
 
 void
-leading::TakeBackStragglers()
+leader_core::TakeBackStragglers()
 {
-  for (const auto& [id, record] : mState.Live()) {
+  for (const auto& [id, record] : mState.LiveJobs()) {
     const job_record& job = *record;
-    if (job.IsActive() && job.mPlaced > 0) {
+    if (job.IsActive() && job.mPlacedRuns > 0) {
       StopStragglers(id, job);
     }
   }
 }
 
 void
-leading::LearnFrom(const end_runs& aEnds)
+leader_core::LearnFrom(const end_runs& aEnds)
 {
   for (const run_end& end : aEnds.mEnds) {
-    mHealth.Ended(aEnds.mWorker, end.mOutcome, mAt.mNow);
-    const auto ratio = mStragglers.Ended(end.mRun, end.mOutcome, mAt.mNow);
+    mHealth.OnRunEnded(aEnds.mWorker, end.mOutcome, mAt.mNow);
+    const auto ratio = mStragglers.OnRunEnded(end.mRun, end.mOutcome, mAt.mNow);
     if (ratio) {
-      mHealth.Took(aEnds.mWorker, *ratio);
+      mHealth.OnTaskTime(aEnds.mWorker, *ratio);
     }
   }
 }
 
 void
-leading::StopStragglers(const job_id& aId, const job_record& aJob)
+leader_core::StopStragglers(const job_id& aId, const job_record& aJob)
 {
   for (const auto& [number, occurrence] : aJob.mOccurrences) {
     for (std::uint32_t step = 0; step < occurrence.mSteps.size(); ++step) {
       const step_spec& spec = aJob.mSpec.mSteps[step];
       const auto& tasks = occurrence.mSteps[step].mTasks;
       // A gang ends together, and what lasts has no time to compare.
-      if (spec.mGang || spec.mLasting || occurrence.mSteps[step].mDone == 0) {
+      if (spec.mGang || spec.mLongRunning ||
+          occurrence.mSteps[step].mDoneTasks == 0) {
         continue;
       }
       for (std::uint32_t index = 0; index < tasks.size(); ++index) {
         const run_ref run{ { aId, number, step, index },
                            tasks[index].mAttempt };
         if (tasks[index].mPhase != task_phase::Placed ||
-            !mStragglers.IsStraggler(run, mAt.mNow)) {
+            !mStragglers.MarkIfStraggler(run, mAt.mNow)) {
           continue;
         }
-        mPort.mNote({ "run.straggles",
-                      { { "job", aId.Value() },
-                        { "step", std::to_string(step) },
-                        { "task", std::to_string(index) } } });
-        mHealth.Stalled(tasks[index].mWorker, mAt.mNow);
-        mKeeper.WantStop(tasks[index].mWorker, run, mAt.mNow);
+        mPort.mLogDecision({ "run.straggles",
+                             { { "job", aId.Value() },
+                               { "step", std::to_string(step) },
+                               { "task", std::to_string(index) } } });
+        mHealth.OnStall(tasks[index].mWorker, mAt.mNow);
+        mKeeper.RequestStop(tasks[index].mWorker, run, mAt.mNow);
       }
     }
   }
@@ -119,7 +121,7 @@
 // A gang works only whole. Were the rest left waiting for a member that was
 // refused, they would hold their room until they gave up.
 void
-leading::StopBrokenGangs(const job_id& aId, const job_record& aJob)
+leader_core::StopBrokenGangs(const job_id& aId, const job_record& aJob)
 {
   for (const auto& [number, occurrence] : aJob.mOccurrences) {
     for (std::uint32_t step = 0; step < occurrence.mSteps.size(); ++step) {
@@ -132,35 +134,35 @@
 }
 
 void
-leading::SharePace(worker_number aWorker, const worker_view& aView)
+leader_core::SharePace(worker_number aWorker, const worker_view& aView)
 {
-  if (mState.AmountsAt(aWorker).mFilling == 0) {
+  if (mState.TotalsAt(aWorker).mBestEffort == 0) {
     return;
   }
-  std::vector<sharing_run> runs;
+  std::vector<colocated_run> runs;
   for (const auto& [run, seen] : aView.mRuns) {
     const step_spec* step = mState.FindStep(run.mTask);
-    if (step == nullptr || !seen.mSeen) {
+    if (step == nullptr || !seen.mSeenInPoll) {
       continue;
     }
     runs.push_back({ run,
-                     step->mTailTargetMs,
-                     step->mTailTargetMs > 0 ? seen.mLoad : 0,
-                     step->mFills,
+                     step->mTailLatencyTargetMs,
+                     step->mTailLatencyTargetMs > 0 ? seen.mLoad : 0,
+                     step->mBestEffort,
                      seen.mPercent });
   }
   for (const pace_change& change : mSharing.Decide(aWorker, runs, mAt.mNow)) {
-    mPort.mNote({ "run.pace",
-                  { { "job", change.mRun.mTask.mJob.Value() },
-                    { "step", std::to_string(change.mRun.mTask.mStep) },
-                    { "task", std::to_string(change.mRun.mTask.mIndex) },
-                    { "percent", std::to_string(change.mPercent) } } });
-    mKeeper.Pace(aWorker, change.mRun, change.mPercent, mAt.mNow);
+    mPort.mLogDecision({ "run.pace",
+                         { { "job", change.mRun.mTask.mJob.Value() },
+                           { "step", std::to_string(change.mRun.mTask.mStep) },
+                           { "task", std::to_string(change.mRun.mTask.mIndex) },
+                           { "percent", std::to_string(change.mPercent) } } });
+    mKeeper.SetPace(aWorker, change.mRun, change.mPercent, mAt.mNow);
   }
 }
 
 void
-leading::Start(std::vector<planned_start> aStarts)
+leader_core::Start(std::vector<planned_start> aStarts)
 {
   start_runs body;
   for (planned_start& planned : aStarts) {
@@ -183,29 +185,29 @@
 }
 
 void
-leading::MakeWay(const std::vector<planned_stop>& aStops)
+leader_core::MakeWay(const std::vector<planned_preemption>& aStops)
 {
   for (const auto& [placed, step] : aStops) {
     const task_ref& task = placed.mRun.mTask;
-    mPort.mNote(
+    mPort.mLogDecision(
       { "run.yields",
         { { "job", task.mJob.Value() },
           { "step", std::to_string(task.mStep) },
           { "task", std::to_string(task.mIndex) },
           { "for", step.mJob.Value() },
           { "worker",
-            mState.FindWorker(placed.mWorker)->mFacts.mId.Value() } } });
-    yield_record& yields = mYields[task];
-    ++yields.mTimes;
-    yields.mUnderWay = true;
+            mState.FindWorker(placed.mWorker)->mDescription.mId.Value() } } });
+    preemption_record& yields = mYields[task];
+    ++yields.mCount;
+    yields.mInProgress = true;
     mYielding[placed.mRun] = placed.mWorker;
-    mKeeper.WantStop(placed.mWorker, placed.mRun, mAt.mNow);
+    mKeeper.RequestStop(placed.mWorker, placed.mRun, mAt.mNow);
   }
 }
 
 // What has ended gives way no more.
 void
-leading::ForgetYielded()
+leader_core::ForgetYielded()
 {
   std::erase_if(mYielding, [this](const auto& aEntry) {
     const auto& [run, worker] = aEntry;
@@ -213,15 +215,15 @@
       return false;
     }
     if (const auto found = mYields.find(run.mTask); found != mYields.end()) {
-      found->second.mUnderWay = false;
+      found->second.mInProgress = false;
     }
     return true;
   });
 }
 
 void
-leading::BeginStarted(const std::vector<run_start>& aProposed,
-                      const apply_outcome& aOutcome)
+leader_core::BeginStarted(const std::vector<run_start>& aProposed,
+                          const apply_outcome& aOutcome)
 {
   for (const run_start& start : aProposed) {
     mProposed.erase(start.mRun.mTask);
@@ -234,10 +236,11 @@
   }
   for (const run_start& start : aOutcome.mStarted) {
     const auto ticket = mTickets.find(start.mRun);
-    mStragglers.Began(start.mRun, mAt.mNow);
-    mKeeper.Begin(start,
-                  ticket == mTickets.end() ? std::string() : ticket->second,
-                  mAt.mNow);
+    mStragglers.OnRunStarted(start.mRun, mAt.mNow);
+    mKeeper.OnStartCommitted(start,
+                             ticket == mTickets.end() ? std::string()
+                                                      : ticket->second,
+                             mAt.mNow);
   }
   NoteStarts(aOutcome.mStarted);
   for (const run_start& start : aProposed) {
--- a/oriolewalk/flow/messages.h
+++ b/oriolewalk/flow/messages.h
@@ -34,7 +34,7 @@
 };
 
 // "I am here and may carry calls to the policy service."
-struct entry_beat
+struct entry_heartbeat
 {
   std::string mAddress; // of its RPC
 
@@ -69,90 +69,90 @@
 
 struct job_submission
 {
-  caller_path mPlace;
+  caller_path mPath;
   job_spec mSpec;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mPlace, mSpec);
+    aArchive(mPath, mSpec);
   }
 };
 
 // A job's state, or the queue's waiting jobs where the path names no job.
 struct job_query
 {
-  caller_path mPlace;
+  caller_path mPath;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mPlace);
+    aArchive(mPath);
   }
 };
 
 struct job_cancellation
 {
-  caller_path mPlace;
+  caller_path mPath;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mPlace);
+    aArchive(mPath);
   }
 };
 
-struct worker_beat
+struct worker_heartbeat
 {
-  worker_facts mFacts;
+  worker_description mDescription;
   bool mDraining = false;
   std::int64_t mRemainingMs = 0; // of a worker that drains: at least
   std::int64_t mClockMs = 0;     // its own clock
-  std::int64_t mNumber = 0;      // rises with each beat
+  std::int64_t mSequence = 0;    // rises with each beat
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mFacts, mDraining, mRemainingMs, mClockMs, mNumber);
+    aArchive(mDescription, mDraining, mRemainingMs, mClockMs, mSequence);
   }
 };
 
 // What a heartbeat said that changed nothing else.
-struct beat_note
+struct heartbeat_digest
 {
   worker_id mId;
-  std::int64_t mBornMs = 0; // as in worker_facts
-  std::int64_t mNumber = 0;
+  std::int64_t mProcessStartMs = 0; // as in worker_facts
+  std::int64_t mSequence = 0;
   std::int64_t mClockMs = 0;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mId, mBornMs, mNumber, mClockMs);
+    aArchive(mId, mProcessStartMs, mSequence, mClockMs);
   }
 };
 
 // Heartbeats that a control process took for the leader since its last summary.
-struct beat_summary
+struct heartbeat_summary
 {
-  std::vector<beat_note> mNotes;
+  std::vector<heartbeat_digest> mDigests;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mNotes);
+    aArchive(mDigests);
   }
 };
 
-struct worker_farewell
+struct worker_deregistration
 {
   worker_id mId;
-  std::int64_t mBornMs = 0; // as in worker_facts
+  std::int64_t mProcessStartMs = 0; // as in worker_facts
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mId, mBornMs);
+    aArchive(mId, mProcessStartMs);
   }
 };
 
@@ -189,22 +189,22 @@
   }
 };
 
-using flow_request = std::variant<entry_beat,
+using flow_request = std::variant<entry_heartbeat,
                                   job_submission,
                                   job_query,
                                   job_cancellation,
-                                  worker_beat,
-                                  worker_farewell,
+                                  worker_heartbeat,
+                                  worker_deregistration,
                                   table_change,
                                   table_read,
                                   join_request,
                                   leader_probe,
-                                  beat_summary>;
+                                  heartbeat_summary>;
 
-struct beat_answer
+struct entry_heartbeat_answer
 {
   std::int64_t mTableVersion = 0; // 0: no table yet
-  front_limits mLimits;
+  entry_limits mLimits;
   std::vector<std::string> mMembers; // RPC addresses of the control processes
 
   template<class Archive>
@@ -220,7 +220,7 @@
   Refused, // not taken and never run; mRetryAfterMs says when to come back
   NoQueue,
   NotConfigured, // there is no table yet
-  Gone,          // no such job
+  NotFound,      // no such job
   State,
   Pending,
   Cancelled,
@@ -229,7 +229,7 @@
 
 struct job_answer
 {
-  job_reply mReply = job_reply::Gone;
+  job_reply mReply = job_reply::NotFound;
   std::string mText; // the state's name, or the problem
   std::uint64_t mPending = 0;
   std::int64_t mRetryAfterMs = 0;
@@ -241,15 +241,15 @@
   }
 };
 
-struct acknowledged
+struct acknowledgement
 {
   // Of a heartbeat: later ones that say the same may come in summaries.
-  bool mTakesSummaries = false;
+  bool mAcceptsSummaries = false;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mTakesSummaries);
+    aArchive(mAcceptsSummaries);
   }
 };
 
@@ -277,20 +277,23 @@
   }
 };
 
-using flow_answer = std::
-  variant<beat_answer, job_answer, acknowledged, table_source, unknown_workers>;
+using flow_answer = std::variant<entry_heartbeat_answer,
+                                 job_answer,
+                                 acknowledgement,
+                                 table_source,
+                                 unknown_workers>;
 
 // A question to the policy service, to be carried by the receiver.
 struct advice_request
 {
   step_ref mStep;
   std::vector<worker_id> mWorkers;
-  std::int64_t mBoundMs = 0; // for the whole answer
+  std::int64_t mTimeoutMs = 0; // for the whole answer
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mStep, mWorkers, mBoundMs);
+    aArchive(mStep, mWorkers, mTimeoutMs);
   }
 };
 
--- a/oriolewalk/flow/open_steps.cc
+++ b/oriolewalk/flow/open_steps.cc
@@ -48,7 +48,7 @@
             const std::map<task_ref, worker_number>& aProposed,
             std::int64_t aWallMs,
             plan_scope aScope,
-            const suspicions& aSuspicions)
+            const suspect_summary& aSuspicions)
     : mState(aState)
     , mProposed(aProposed)
     , mWallMs(aWallMs)
@@ -61,7 +61,7 @@
   [[nodiscard]] std::vector<open_step> Find() const
   {
     std::vector<open_step> steps;
-    for (const auto& [id, record] : mState.Live()) {
+    for (const auto& [id, record] : mState.LiveJobs()) {
       const job_record& job = *record;
       if (!job.IsActive()) {
         continue;
@@ -107,8 +107,9 @@
       const step_record& record = aOccurrence.mSteps[step];
       const bool waits =
         (mScope == plan_scope::All ||
-         IsFirst(queue, aJob.mSpec.mSteps[step])) &&
-        !record.IsDone() && flow_state::IsOpen(aJob, aOccurrence, step) &&
+         IsTopPriority(queue, aJob.mSpec.mSteps[step])) &&
+        !record.IsDone() &&
+        flow_state::AreDependenciesDone(aJob, aOccurrence, step) &&
         std::ranges::any_of(record.mTasks, [](const task_record& aTask) {
           return aTask.mPhase == task_phase::Waiting;
         });
@@ -134,7 +135,7 @@
     for (std::uint32_t index = 0; index < aRecord.mTasks.size(); ++index) {
       const task_ref ref{ aStep.mJob, aStep.mOccurrence, aStep.mStep, index };
       if (aRecord.mTasks[index].mPhase == task_phase::Waiting &&
-          !mProposed.contains(ref) && !mSuspicions.mHeld.contains(ref)) {
+          !mProposed.contains(ref) && !mSuspicions.mBlocked.contains(ref)) {
         waiting.push_back(index);
       }
     }
@@ -146,7 +147,7 @@
   void PutSuspectsLast(open_step& aStep, std::uint32_t& aListed) const
   {
     const step_ref& ref = aStep.mRef;
-    const crash_book& book = mState.Crashes();
+    const crash_tracker& book = mState.Crashes();
     for (const std::uint32_t index : aStep.mWaiting) {
       const suspicion known =
         book.SuspicionOf({ ref.mJob, ref.mOccurrence, ref.mStep, index });
@@ -159,15 +160,15 @@
     }
     // The prime suspects come first of those: they tell the most.
     constexpr std::array kOrder = { suspicion::None,
-                                    suspicion::Prime,
-                                    suspicion::Some };
+                                    suspicion::High,
+                                    suspicion::Low };
     std::ranges::stable_sort(aStep.mWaiting, {}, [&](std::uint32_t aIndex) {
       return std::ranges::find(kOrder, SuspicionOf(aStep, aIndex));
     });
     if (aStep.mSpec->mGang) {
       return;
     }
-    const std::uint32_t most = mSuspicions.MostOf(book, ref.mJob);
+    const std::uint32_t most = mSuspicions.MaxStarts(book, ref.mJob);
     const auto suspects = static_cast<std::uint32_t>(aStep.mSuspects.size());
     const std::uint32_t may =
       std::min(suspects, most - std::min(most, aListed));
@@ -179,7 +180,7 @@
   const std::map<task_ref, worker_number>& mProposed;
   std::int64_t mWallMs;
   plan_scope mScope;
-  const suspicions& mSuspicions;
+  const suspect_summary& mSuspicions;
 };
 
 } // namespace
@@ -209,7 +210,7 @@
                  std::int64_t aWallMs,
                  plan_order aOrder,
                  plan_scope aScope,
-                 const suspicions& aSuspicions)
+                 const suspect_summary& aSuspicions)
 {
   const collector collect(aState, aProposed, aWallMs, aScope, aSuspicions);
   std::vector<open_step> steps = collect.Find();
--- a/oriolewalk/flow/open_steps.h
+++ b/oriolewalk/flow/open_steps.h
@@ -27,7 +27,7 @@
                  std::int64_t aWallMs,
                  plan_order aOrder = plan_order::LeastSlack,
                  plan_scope aScope = plan_scope::All,
-                 const suspicions& aSuspicions = {});
+                 const suspect_summary& aSuspicions = {});
 
 // Milliseconds from a job's first send within which it is in time, by the
 // caller's estimates.
--- a/oriolewalk/flow/placement.cc
+++ b/oriolewalk/flow/placement.cc
@@ -38,33 +38,35 @@
 } // namespace
 
 double
-PlaceScore(const open_step& aStep,
-           const plan_worker& aWorker,
-           const plan_policy& aPolicy)
+PlacementScore(const open_step& aStep,
+               const plan_worker& aWorker,
+               const plan_policy& aPolicy)
 {
   const std::string& rack = aStep.mSpec->mDataRack;
-  const bool near = rack.empty() || aWorker.mFacts->mRack.Value() == rack;
-  const cell::resources& capacity = aWorker.mFacts->mCapacity;
-  const cell::resources left = aWorker.mFree - aWorker.mHeld;
+  const bool near = rack.empty() || aWorker.mDescription->mRack.Value() == rack;
+  const cell::resources& capacity = aWorker.mDescription->mCapacity;
+  const cell::resources left = aWorker.mFree - aWorker.mReserved;
   const double processors =
     ShareOf(left.mMilliProcessors, capacity.mMilliProcessors);
   const double accelerators =
     ShareOf(left.mAccelerators, capacity.mAccelerators);
-  const bool disturbed = (aStep.mSpec->mFills && aWorker.mServes) ||
-                         (aStep.mSpec->mTailTargetMs > 0 && aWorker.mFilled);
-  if (aPolicy.mPlaces == place_rule::FirstFit) {
+  const bool disturbed =
+    (aStep.mSpec->mBestEffort && aWorker.mRunsLatencySensitive) ||
+    (aStep.mSpec->mTailLatencyTargetMs > 0 && aWorker.mRunsBestEffort);
+  if (aPolicy.mPlacement == placement_rule::FirstFit) {
     return -static_cast<double>(aWorker.mNumber);
   }
   const bool packs =
-    aPolicy.mPlaces == place_rule::Packing && capacity.mAccelerators > 0;
+    aPolicy.mPlacement == placement_rule::Packing && capacity.mAccelerators > 0;
   return (near ? kNear : 0) - (disturbed ? kDisturbs : 0) +
          (packs ? -kPackWeight * accelerators : processors) +
          kSpeedWeight * aWorker.mSpeed - (aWorker.mAvoided ? kAvoided : 0);
 }
 
-step_places::step_places(const open_step& aStep,
-                         const std::map<task_ref, worker_number>& aProposed,
-                         const plan_policy& aPolicy)
+step_placement::step_placement(
+  const open_step& aStep,
+  const std::map<task_ref, worker_number>& aProposed,
+  const plan_policy& aPolicy)
   : mStep(aStep)
   , mPolicy(aPolicy)
 {
@@ -85,21 +87,22 @@
 }
 
 plan_worker*
-step_places::Best(std::uint32_t aTask,
-                  const rack_id& aRack,
-                  std::span<plan_worker* const> aCandidates,
-                  fits_rule aFits) const
+step_placement::BestWorker(std::uint32_t aTask,
+                           const rack_id& aRack,
+                           std::span<plan_worker* const> aCandidates,
+                           fits_predicate aFits) const
 {
   plan_worker* best = nullptr;
   double bestScore = 0;
   for (plan_worker* worker : aCandidates) {
-    if (!aFits(mStep, *worker) || !MayRun(aTask, aRack, *worker)) {
+    if (!aFits(mStep, *worker) || !CanRun(aTask, aRack, *worker)) {
       continue;
     }
-    const bool endangers = (worker->mLasts || worker->mSuspects.mCount > 0) &&
-                           SuspicionOf(mStep, aTask) != suspicion::None;
+    const bool endangers =
+      (worker->mRunsGangOrLongRunning || worker->mSuspects.mCount > 0) &&
+      SuspicionOf(mStep, aTask) != suspicion::None;
     const double score =
-      PlaceScore(mStep, *worker, mPolicy) - (endangers ? kEndangers : 0);
+      PlacementScore(mStep, *worker, mPolicy) - (endangers ? kEndangers : 0);
     if (best == nullptr || score > bestScore) {
       best = worker;
       bestScore = score;
@@ -109,23 +112,23 @@
 }
 
 bool
-step_places::MayRun(std::uint32_t aTask,
-                    const rack_id& aRack,
-                    const plan_worker& aWorker) const
+step_placement::CanRun(std::uint32_t aTask,
+                       const rack_id& aRack,
+                       const plan_worker& aWorker) const
 {
   const bool elsewhere =
-    !aRack.Value().empty() && aWorker.mFacts->mRack != aRack;
+    !aRack.Value().empty() && aWorker.mDescription->mRack != aRack;
   if (elsewhere || (aWorker.mAvoided && HasFailed(mStep, aTask))) {
     return false;
   }
   // A prime suspect's crash is to tell as much as it can, and to cost as
   // little.
   const worker_suspects& suspects = aWorker.mSuspects;
-  if (suspects.mPrimes > 0 ||
-      (suspects.mCount > 0 && SuspicionOf(mStep, aTask) == suspicion::Prime)) {
+  if (suspects.mHighSuspicion > 0 ||
+      (suspects.mCount > 0 && SuspicionOf(mStep, aTask) == suspicion::High)) {
     return false;
   }
-  const std::uint32_t most = mStep.mSpec->mMostPerWorker;
+  const std::uint32_t most = mStep.mSpec->mMaxPerWorker;
   const auto here = mCounts.find(aWorker.mNumber);
   return most == 0 || here == mCounts.end() || here->second < most;
 }
--- a/oriolewalk/flow/placement.h
+++ b/oriolewalk/flow/placement.h
@@ -22,32 +22,33 @@
 
 // Higher is better: near its data, fast, and leaving whole what is scarce.
 double
-PlaceScore(const open_step& aStep,
-           const plan_worker& aWorker,
-           const plan_policy& aPolicy);
+PlacementScore(const open_step& aStep,
+               const plan_worker& aWorker,
+               const plan_policy& aPolicy);
 
-class step_places
+class step_placement
 {
 public:
-  using fits_rule = bool (*)(const open_step&, const plan_worker&);
+  using fits_predicate = bool (*)(const open_step&, const plan_worker&);
 
   // aProposed: starts under way, which count for the most per worker.
-  step_places(const open_step& aStep,
-              const std::map<task_ref, worker_number>& aProposed,
-              const plan_policy& aPolicy);
+  step_placement(const open_step& aStep,
+                 const std::map<task_ref, worker_number>& aProposed,
+                 const plan_policy& aPolicy);
 
   // Null, if none of the candidates takes the task. An empty aRack: anywhere.
-  [[nodiscard]] plan_worker* Best(std::uint32_t aTask,
-                                  const rack_id& aRack,
-                                  std::span<plan_worker* const> aCandidates,
-                                  fits_rule aFits) const;
+  [[nodiscard]] plan_worker* BestWorker(
+    std::uint32_t aTask,
+    const rack_id& aRack,
+    std::span<plan_worker* const> aCandidates,
+    fits_predicate aFits) const;
   // Whether the task may run there, room apart.
-  [[nodiscard]] bool MayRun(std::uint32_t aTask,
+  [[nodiscard]] bool CanRun(std::uint32_t aTask,
                             const rack_id& aRack,
                             const plan_worker& aWorker) const;
   // Counts one more task there.
-  void Take(const plan_worker& aWorker) { ++mCounts[aWorker.mNumber]; }
-  void Return(const plan_worker& aWorker) { --mCounts[aWorker.mNumber]; }
+  void AddTask(const plan_worker& aWorker) { ++mCounts[aWorker.mNumber]; }
+  void RemoveTask(const plan_worker& aWorker) { --mCounts[aWorker.mNumber]; }
 
 private:
   const open_step& mStep;
--- a/oriolewalk/flow/plan_policy.h
+++ b/oriolewalk/flow/plan_policy.h
@@ -22,11 +22,11 @@
 enum class plan_scope : std::uint8_t
 {
   All,
-  First, // those that come before all others, whatever waits behind them
+  TopPriority, // those that come before all others, whatever waits behind them
 };
 
 // Which of the workers with room a task goes to.
-enum class place_rule : std::uint8_t
+enum class placement_rule : std::uint8_t
 {
   Packing,   // accelerators are filled worker by worker
   Spreading, // where most processors are free
@@ -36,11 +36,12 @@
 struct plan_policy
 {
   plan_order mOrder = plan_order::LeastSlack;
-  place_rule mPlaces = place_rule::Packing;
-  bool mAsksAhead = true; // the policy service, about workers that are full too
-  bool mHolds = true;     // room is kept for what comes next
-  bool mPreempts = true;  // work of later queues gives way
-  bool mShares = true;    // each queue has a share of the advisors
+  placement_rule mPlacement = placement_rule::Packing;
+  bool mQueriesAhead =
+    true; // the policy service, about workers that are full too
+  bool mReservesCapacity = true; // room is kept for what comes next
+  bool mPreempts = true;         // work of later queues gives way
+  bool mSharesAdvisors = true;   // each queue has a share of the advisors
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/plan_timer.cc
+++ b/oriolewalk/flow/plan_timer.cc
@@ -37,7 +37,7 @@
 } // namespace
 
 void
-plan_pace::Ticked(time_point aNow)
+plan_timer::OnTick(time_point aNow)
 {
   if (mTickedAt != time_point{}) {
     mTickGap += (aNow - mTickedAt - mTickGap) / kTicksRemembered;
@@ -46,7 +46,7 @@
 }
 
 std::optional<plan_scope>
-plan_pace::Due(std::size_t aWorkers, time_point aNow) const
+plan_timer::DueScope(std::size_t aWorkers, time_point aNow) const
 {
   const auto workers = static_cast<std::int64_t>(aWorkers);
   const auto lateness =
@@ -62,13 +62,13 @@
     lateness * (kPlanPause + kFirstPausePerWorker * workers);
   if (mFirstChanged &&
       aNow - std::max(mPlannedAt, mFirstPlannedAt) >= firstPause) {
-    return plan_scope::First;
+    return plan_scope::TopPriority;
   }
   return std::nullopt;
 }
 
 void
-plan_pace::Planned(plan_scope aScope, std::size_t aWaiting, time_point aNow)
+plan_timer::OnPlanned(plan_scope aScope, std::size_t aWaiting, time_point aNow)
 {
   mFirstChanged = false;
   mFirstPlannedAt = aNow;
--- a/oriolewalk/flow/plan_timer.h
+++ b/oriolewalk/flow/plan_timer.h
@@ -23,22 +23,22 @@
 
 namespace oriolewalk::flow {
 
-class plan_pace
+class plan_timer
 {
 public:
   // The process's ticks are 10 ms apart, and later the busier it is.
-  void Ticked(time_point aNow);
+  void OnTick(time_point aNow);
   // aFirst: it may let a step that comes first go on.
-  void Changed(bool aFirst)
+  void OnChange(bool aFirst)
   {
     mChanged = true;
     mFirstChanged = mFirstChanged || aFirst;
   }
   // Nothing: no plan is due yet.
-  [[nodiscard]] std::optional<plan_scope> Due(std::size_t aWorkers,
-                                              time_point aNow) const;
+  [[nodiscard]] std::optional<plan_scope> DueScope(std::size_t aWorkers,
+                                                   time_point aNow) const;
   // aWaiting: tasks that found no place.
-  void Planned(plan_scope aScope, std::size_t aWaiting, time_point aNow);
+  void OnPlanned(plan_scope aScope, std::size_t aWaiting, time_point aNow);
 
 private:
   bool mChanged = true;
--- a/oriolewalk/flow/plan_types.h
+++ b/oriolewalk/flow/plan_types.h
@@ -25,15 +25,17 @@
 struct plan_worker
 {
   worker_number mNumber = 0;
-  const worker_facts* mFacts = nullptr;
+  const worker_description* mDescription = nullptr;
   cell::resources mFree;
-  cell::resources mLeaving; // of runs that are being stopped: free soon
-  cell::resources mHeld;    // kept for steps that come first
-  double mSpeed = 1;        // learnt; above 1 is faster than its peers
-  bool mServes = false;     // a task with a target for its tail runs there
-  bool mFilled = false;     // filling work runs there
-  bool mAvoided = false;    // fails or stalls of late: the last choice
-  bool mLasts = false;      // a gang's member or a task that lasts runs there
+  cell::resources mBeingFreed; // of runs that are being stopped: free soon
+  cell::resources mReserved;   // kept for steps that come first
+  double mSpeed = 1;           // learnt; above 1 is faster than its peers
+  bool mRunsLatencySensitive =
+    false;                      // a task with a target for its tail runs there
+  bool mRunsBestEffort = false; // filling work runs there
+  bool mAvoided = false;        // fails or stalls of late: the last choice
+  bool mRunsGangOrLongRunning =
+    false; // a gang's member or a task that lasts runs there
   worker_suspects mSuspects;
 };
 
@@ -61,34 +63,34 @@
 // Steps whose users notice each second: those of the queues that come first,
 // and tasks that last, which are few.
 inline bool
-IsFirst(const queue_row& aQueue, const step_spec& aSpec)
+IsTopPriority(const queue_row& aQueue, const step_spec& aSpec)
 {
-  return aQueue.mPriority == 0 || aSpec.mLasting;
+  return aQueue.mPriority == 0 || aSpec.mLongRunning;
 }
 
 // Whether the worker could take a task of the step if it were empty.
 inline bool
-CanHold(const open_step& aStep, const plan_worker& aWorker)
+FitsWhenEmpty(const open_step& aStep, const plan_worker& aWorker)
 {
   const step_spec& spec = *aStep.mSpec;
-  return spec.Booked().FitsIn(aWorker.mFacts->mCapacity) &&
-         aWorker.mFacts->mService == aStep.mQueue->mService &&
+  return spec.Booked().FitsIn(aWorker.mDescription->mCapacity) &&
+         aWorker.mDescription->mService == aStep.mQueue->mService &&
          (spec.mLabel.empty() ||
-          std::ranges::count(aWorker.mFacts->mLabels, spec.mLabel) > 0);
+          std::ranges::count(aWorker.mDescription->mLabels, spec.mLabel) > 0);
 }
 
 inline bool
 FitsNow(const open_step& aStep, const plan_worker& aWorker)
 {
-  return aStep.mSpec->Booked().FitsIn(aWorker.mFree - aWorker.mHeld);
+  return aStep.mSpec->Booked().FitsIn(aWorker.mFree - aWorker.mReserved);
 }
 
 // As FitsNow, once what is being stopped there has ended.
 inline bool
 FitsSoon(const open_step& aStep, const plan_worker& aWorker)
 {
-  return aStep.mSpec->Booked().FitsIn(aWorker.mFree + aWorker.mLeaving -
-                                      aWorker.mHeld);
+  return aStep.mSpec->Booked().FitsIn(aWorker.mFree + aWorker.mBeingFreed -
+                                      aWorker.mReserved);
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/planner.cc
+++ b/oriolewalk/flow/planner.cc
@@ -20,13 +20,13 @@
 public:
   explicit plan_maker(plan_input aInput)
     : mInput(std::move(aInput))
-    , mHolds(*mInput.mState, mInput.mYields, mInput.mPolicy)
+    , mHolds(*mInput.mState, mInput.mPreemptionRecords, mInput.mPolicy)
   {
     for (plan_worker& worker : mInput.mWorkers) {
       mByNumber[worker.mNumber] = &worker;
-      mByService[worker.mFacts->mService].push_back(&worker);
-      const auto suspects = mInput.mSuspicions.mAt.find(worker.mNumber);
-      if (suspects != mInput.mSuspicions.mAt.end()) {
+      mByService[worker.mDescription->mService].push_back(&worker);
+      const auto suspects = mInput.mSuspicions.mByWorker.find(worker.mNumber);
+      if (suspects != mInput.mSuspicions.mByWorker.end()) {
         worker.mSuspects = suspects->second;
       }
     }
@@ -41,15 +41,16 @@
                                                           mInput.mScope,
                                                           mInput.mSuspicions);
     mAdvisors.emplace(mInput.mAdvisors,
-                      mInput.mPolicy.mShares ? steps : std::vector<open_step>(),
+                      mInput.mPolicy.mSharesAdvisors ? steps
+                                                     : std::vector<open_step>(),
                       *mInput.mAdvice,
-                      *mInput.mAsking);
+                      *mInput.mOpenQueries);
     for (const open_step& step : steps) {
       Serve(step);
     }
     for (const plan_worker& worker : mInput.mWorkers) {
       mResult.mFree += worker.mFree;
-      mResult.mHeld += worker.mHeld;
+      mResult.mReserved += worker.mReserved;
     }
     return std::move(mResult);
   }
@@ -64,16 +65,17 @@
   {
     worker_list approved;
     if (!aStep.mQueue->mAdvice) {
-      std::ranges::copy_if(
-        mByService[aStep.mQueue->mService],
-        std::back_inserter(approved),
-        [&](const plan_worker* aWorker) { return CanHold(aStep, *aWorker); });
+      std::ranges::copy_if(mByService[aStep.mQueue->mService],
+                           std::back_inserter(approved),
+                           [&](const plan_worker* aWorker) {
+                             return FitsWhenEmpty(aStep, *aWorker);
+                           });
       return approved;
     }
-    for (const worker_number number : mInput.mAdvice->ApprovedFor(
+    for (const worker_number number : mInput.mAdvice->ApprovedWorkers(
            aStep.mRef, aExpiredToo ? time_point::min() : mInput.mNow)) {
       const auto found = mByNumber.find(number);
-      if (found != mByNumber.end() && CanHold(aStep, *found->second)) {
+      if (found != mByNumber.end() && FitsWhenEmpty(aStep, *found->second)) {
         approved.push_back(found->second);
       }
     }
@@ -82,7 +84,7 @@
 
   void Serve(const open_step& aStep)
   {
-    step_places places(aStep, *mInput.mProposed, mInput.mPolicy);
+    step_placement places(aStep, *mInput.mProposed, mInput.mPolicy);
     const std::size_t placed = PlaceNow(aStep, places);
     const std::size_t left = aStep.mWaiting.size() - placed;
     mResult.mWaiting += left;
@@ -107,7 +109,7 @@
 
   // The first tasks of aStep.mWaiting that start now; a gang whole or not at
   // all; a step bound to one rack there.
-  std::size_t PlaceNow(const open_step& aStep, step_places& aPlaces)
+  std::size_t PlaceNow(const open_step& aStep, step_placement& aPlaces)
   {
     const worker_list candidates = ApprovedFor(aStep, false);
     if (candidates.empty() || IsGangUnderWay(aStep)) {
@@ -136,7 +138,7 @@
     }
     std::set<rack_id> racks;
     for (const plan_worker& worker : mInput.mWorkers) {
-      racks.insert(worker.mFacts->mRack);
+      racks.insert(worker.mDescription->mRack);
     }
     std::vector<rack_id> order(racks.begin(), racks.end());
     std::ranges::stable_partition(order, [&](const rack_id& aRack) {
@@ -151,27 +153,29 @@
   std::size_t PlaceSome(const open_step& aStep,
                         const rack_id& aRack,
                         const worker_list& aCandidates,
-                        step_places& aPlaces)
+                        step_placement& aPlaces)
   {
     std::size_t placed = 0;
     for (const std::uint32_t task : aStep.mWaiting) {
-      plan_worker* best = aPlaces.Best(task, aRack, aCandidates, FitsNow);
+      plan_worker* best = aPlaces.BestWorker(task, aRack, aCandidates, FitsNow);
       if (best == nullptr) {
         break; // the tasks of a step are alike
       }
-      aPlaces.Take(*best);
+      aPlaces.AddTask(*best);
       Start(aStep, task, *best);
       ++placed;
     }
     return placed;
   }
 
-  void TakeBack(const open_step& aStep, std::size_t aFrom, step_places& aPlaces)
+  void TakeBack(const open_step& aStep,
+                std::size_t aFrom,
+                step_placement& aPlaces)
   {
     for (std::size_t at = aFrom; at < mResult.mStarts.size(); ++at) {
       plan_worker& worker = *mByNumber.at(mResult.mStarts[at].mStart.mWorker);
       worker.mFree += aStep.mSpec->Booked();
-      aPlaces.Return(worker);
+      aPlaces.RemoveTask(worker);
       const std::uint32_t task = mResult.mStarts[at].mStart.mRun.mTask.mIndex;
       worker.mSuspects.Remove(SuspicionOf(aStep, task));
     }
@@ -197,26 +201,26 @@
 
   wait_cause KeepRoomAndAsk(const open_step& aStep,
                             std::span<const std::uint32_t> aTasks,
-                            step_places& aPlaces)
+                            step_placement& aPlaces)
   {
     const worker_list known = ApprovedFor(aStep, true);
     if (known.empty() && KeepNamedRoom(aStep, aTasks, aPlaces)) {
       return wait_cause::Verdict;
     }
-    hold kept;
-    if (mInput.mPolicy.mHolds || mInput.mPolicy.mPreempts) {
-      kept = mHolds.Find(aStep, aTasks, known, aPlaces);
+    capacity_reservation kept;
+    if (mInput.mPolicy.mReservesCapacity || mInput.mPolicy.mPreempts) {
+      kept = mHolds.Reserve(aStep, aTasks, known, aPlaces);
     }
     const bool wantsAdvisor =
       aStep.mQueue->mAdvice && !Ask(aStep, aTasks.size(), kept);
     const bool comes = WillHaveTickets(aStep, kept);
     const wait_cause cause = CauseOf(aStep, known, kept, wantsAdvisor);
     if (!comes) {
-      mHolds.Drop(aStep, kept);
+      mHolds.Release(aStep, kept);
       return cause;
     }
-    for (const auto& [run, worker] : kept.mStops) {
-      mResult.mStops.push_back({ { run, worker->mNumber }, aStep.mRef });
+    for (const auto& [run, worker] : kept.mPreemptions) {
+      mResult.mPreemptions.push_back({ { run, worker->mNumber }, aStep.mRef });
     }
     return cause;
   }
@@ -227,14 +231,15 @@
   // True: a question is under way.
   bool KeepNamedRoom(const open_step& aStep,
                      std::span<const std::uint32_t> aTasks,
-                     step_places& aPlaces)
+                     step_placement& aPlaces)
   {
-    if (mInput.mNamed == nullptr || !mInput.mPolicy.mHolds ||
-        !IsFirst(*aStep.mQueue, *aStep.mSpec)) {
+    if (mInput.mQueriedWorkers == nullptr ||
+        !mInput.mPolicy.mReservesCapacity ||
+        !IsTopPriority(*aStep.mQueue, *aStep.mSpec)) {
       return false;
     }
-    const auto named = mInput.mNamed->find(aStep.mRef);
-    if (named == mInput.mNamed->end()) {
+    const auto named = mInput.mQueriedWorkers->find(aStep.mRef);
+    if (named == mInput.mQueriedWorkers->end()) {
       return false;
     }
     worker_list workers;
@@ -244,19 +249,19 @@
       }
     }
     for (const std::uint32_t task : aTasks) {
-      plan_worker* worker = aPlaces.Best(task, {}, workers, FitsNow);
+      plan_worker* worker = aPlaces.BestWorker(task, {}, workers, FitsNow);
       if (worker == nullptr) {
         break;
       }
-      worker->mHeld += aStep.mSpec->Booked();
-      aPlaces.Take(*worker);
+      worker->mReserved += aStep.mSpec->Booked();
+      aPlaces.AddTask(*worker);
     }
     return true;
   }
 
   [[nodiscard]] wait_cause CauseOf(const open_step& aStep,
                                    const worker_list& aKnown,
-                                   const hold& aKept,
+                                   const capacity_reservation& aKept,
                                    bool aWantsAdvisor) const
   {
     if (aWantsAdvisor) {
@@ -265,65 +270,67 @@
     if (aKnown.empty()) {
       return IsAsking(aStep) ? wait_cause::Verdict : wait_cause::Nowhere;
     }
-    const bool room =
-      aKept.mStops.empty() && aKept.mDraining == 0 && !aKept.mWorkers.empty();
+    const bool room = aKept.mPreemptions.empty() && aKept.mDrainingTasks == 0 &&
+                      !aKept.mWorkers.empty();
     return room && IsAsking(aStep) ? wait_cause::Ticket : wait_cause::Room;
   }
 
   // A question about the step is under way, or part of this plan.
   [[nodiscard]] bool IsAsking(const open_step& aStep) const
   {
-    return mInput.mAsking->contains(aStep.mRef) ||
-           (!mResult.mQuestions.empty() &&
-            mResult.mQuestions.back().mStep == aStep.mRef);
+    return mInput.mOpenQueries->contains(aStep.mRef) ||
+           (!mResult.mQueries.empty() &&
+            mResult.mQueries.back().mStep == aStep.mRef);
   }
 
   // Room is kept only for what can start there: its tickets are valid, or a
   // question is under way.
   [[nodiscard]] bool WillHaveTickets(const open_step& aStep,
-                                     const hold& aHold) const
+                                     const capacity_reservation& aHold) const
   {
     return !aStep.mQueue->mAdvice || IsAsking(aStep) ||
            std::ranges::all_of(aHold.mWorkers, [&](const plan_worker* aWorker) {
-             return mInput.mAdvice->On(aStep.mRef,
-                                       aWorker->mNumber,
-                                       mInput.mNow) == verdict::Approved;
+             return mInput.mAdvice->VerdictFor(
+                      aStep.mRef, aWorker->mNumber, mInput.mNow) ==
+                    verdict::Approved;
            });
   }
 
   // False: there is something to ask, and nobody free to carry it.
-  bool Ask(const open_step& aStep, std::size_t aTasks, const hold& aHold)
+  bool Ask(const open_step& aStep,
+           std::size_t aTasks,
+           const capacity_reservation& aHold)
   {
     if (IsAsking(aStep)) {
       return true;
     }
-    if (!mAdvisors->MayAsk(aStep)) {
+    if (!mAdvisors->CanQuery(aStep)) {
       return false;
     }
-    if (mInput.mNothingToAsk->contains(aStep.mRef)) {
+    if (mInput.mNothingToQuery->contains(aStep.mRef)) {
       return true;
     }
-    ask_need need{ aTasks, {}, mAdvisors->IsPlentiful() };
+    query_need need{ aTasks, {}, mAdvisors->HasSurplus() };
     // While it waits for a run to end by itself, its tickets may run out
     // several times: they are renewed ahead only where nobody else needs the
     // advisors.
-    if (aHold.mDraining == 0 || need.mPlentiful) {
+    if (aHold.mDrainingTasks == 0 || need.mHasSurplusAdvisors) {
       for (const plan_worker* worker : aHold.mWorkers) {
-        need.mHeld.insert(worker->mNumber);
+        need.mReserved.insert(worker->mNumber);
       }
     }
-    question asked{ aStep.mRef,
-                    WorkersToName(aStep,
-                                  need,
-                                  mByService[aStep.mQueue->mService],
-                                  *mInput.mAdvice,
-                                  mInput.mPolicy,
-                                  mInput.mNow) };
+    advice_query asked{ aStep.mRef,
+                        WorkersToQuery(aStep,
+                                       need,
+                                       mByService[aStep.mQueue->mService],
+                                       *mInput.mAdvice,
+                                       mInput.mPolicy,
+                                       mInput.mNow) };
     if (!asked.mWorkers.empty()) {
-      mAdvisors->Asked(aStep);
-      mResult.mQuestions.push_back(std::move(asked));
+      mAdvisors->OnQuery(aStep);
+      mResult.mQueries.push_back(std::move(asked));
     } else if (aStep.mQueue->mPriority > 0) {
-      mResult.mNothingToAsk.push_back(aStep.mRef);
+      mResult.mNothingToQuery.push_back(aStep.mRef);
     }
     return true;
   }
@@ -331,7 +338,7 @@
   plan_input mInput;
   std::unordered_map<worker_number, plan_worker*> mByNumber;
   std::map<service_id, worker_list> mByService;
-  hold_finder mHolds;
+  reservation_planner mHolds;
   std::optional<advisor_pool> mAdvisors;
   plan_result mResult;
 };
--- a/oriolewalk/flow/planner.h
+++ b/oriolewalk/flow/planner.h
@@ -38,18 +38,19 @@
 struct plan_input
 {
   const flow_state* mState = nullptr;
-  const advice_book* mAdvice = nullptr;
+  const advice_cache* mAdvice = nullptr;
   std::vector<plan_worker> mWorkers; // those that may get work now
   // Starts that are proposed and not yet applied, and where.
   const std::map<task_ref, worker_number>* mProposed = nullptr;
   // Steps about which a question is under way.
-  const std::set<step_ref>* mAsking = nullptr;
+  const std::set<step_ref>* mOpenQueries = nullptr;
   // Which workers those questions name; null: not told.
-  const std::map<step_ref, std::vector<worker_number>>* mNamed = nullptr;
+  const std::map<step_ref, std::vector<worker_number>>* mQueriedWorkers =
+    nullptr;
   // Steps that had nothing to ask of late: not looked at again so soon.
-  const std::set<step_ref>* mNothingToAsk = nullptr;
-  yield_records mYields;
-  suspicions mSuspicions;
+  const std::set<step_ref>* mNothingToQuery = nullptr;
+  preemption_records mPreemptionRecords;
+  suspect_summary mSuspicions;
   advisor_load mAdvisors;
   time_point mNow{};
   std::int64_t mWallMs = 0;
@@ -64,24 +65,24 @@
 };
 
 // A run that gives way, and for whom.
-struct planned_stop
+struct planned_preemption
 {
   run_start mRun; // and where it is
-  step_ref mFor;
+  step_ref mPreemptor;
 };
 
 struct plan_result
 {
   std::vector<planned_start> mStarts;
-  std::vector<planned_stop> mStops;
-  std::vector<question> mQuestions;
-  std::vector<step_ref> mNothingToAsk; // waiting steps of later queues
+  std::vector<planned_preemption> mPreemptions;
+  std::vector<advice_query> mQueries;
+  std::vector<step_ref> mNothingToQuery; // waiting steps of later queues
   std::vector<waiting_step> mWaits;
   std::size_t mWaiting = 0; // open tasks that found no place
   // Of those, in queues that come first.
   std::size_t mUrgentWaiting = 0;
-  cell::resources mFree; // of all workers together, after the starts
-  cell::resources mHeld; // of that, kept for steps that come first
+  cell::resources mFree;     // of all workers together, after the starts
+  cell::resources mReserved; // of that, kept for steps that come first
 };
 
 plan_result
--- a/oriolewalk/flow/preemption.cc
+++ b/oriolewalk/flow/preemption.cc
@@ -15,7 +15,7 @@
 bool
 SavesItself(const step_spec& aSpec)
 {
-  return aSpec.mCheckpoints && !aSpec.mGang && !aSpec.mLasting;
+  return aSpec.mCheckpoints && !aSpec.mGang && !aSpec.mLongRunning;
 }
 
 bool
@@ -41,7 +41,8 @@
 
 } // namespace
 
-yield_book::yield_book(const flow_state& aState, yield_records aYields)
+preemption_planner::preemption_planner(const flow_state& aState,
+                                       preemption_records aYields)
   : mState(aState)
   , mYields(std::move(aYields))
 {
@@ -53,28 +54,28 @@
 }
 
 bool
-yield_book::HasLaterQueue(const queue_row& aQueue)
+preemption_planner::HasLaterQueue(const queue_row& aQueue)
 {
   return aQueue.mPriority < mLastPriority[aQueue.mService];
 }
 
 bool
-yield_book::MayYield(const task_ref& aTask) const
+preemption_planner::MayYield(const task_ref& aTask) const
 {
   const auto found = mYields.find(aTask);
   return found == mYields.end() ||
-         (!found->second.mUnderWay && found->second.mTimes < kMostYields);
+         (!found->second.mInProgress && found->second.mCount < kMostYields);
 }
 
-const std::vector<yield_book::candidate>&
-yield_book::CandidatesAt(worker_number aWorker)
+const std::vector<preemption_planner::candidate>&
+preemption_planner::CandidatesAt(worker_number aWorker)
 {
   const auto [found, fresh] = mCandidates.try_emplace(aWorker);
   std::vector<candidate>& candidates = found->second;
   if (!fresh) {
     return candidates;
   }
-  for (const run_ref& run : mState.PlacedAt(aWorker)) {
+  for (const run_ref& run : mState.RunsAt(aWorker)) {
     const step_spec& spec = *mState.FindStep(run.mTask);
     const job_record& job = *mState.FindJob(run.mTask.mJob);
     if (SavesItself(spec) && job.IsActive()) {
@@ -92,10 +93,12 @@
 }
 
 std::optional<std::vector<run_ref>>
-yield_book::RunsToStop(const open_step& aStep, const plan_worker& aWorker)
+preemption_planner::RunsToPreempt(const open_step& aStep,
+                                  const plan_worker& aWorker)
 {
   cell::resources missing =
-    aStep.mSpec->Booked() - (aWorker.mFree + aWorker.mLeaving - aWorker.mHeld);
+    aStep.mSpec->Booked() -
+    (aWorker.mFree + aWorker.mBeingFreed - aWorker.mReserved);
   std::vector<run_ref> stops;
   if (IsCovered(missing)) {
     return stops;
@@ -120,19 +123,20 @@
 }
 
 void
-yield_book::Stop(const std::vector<run_ref>& aRuns, plan_worker& aWorker)
+preemption_planner::Preempt(const std::vector<run_ref>& aRuns,
+                            plan_worker& aWorker)
 {
   for (const run_ref& run : aRuns) {
-    mYields[run.mTask].mUnderWay = true;
-    aWorker.mLeaving += mState.FindStep(run.mTask)->Booked();
+    mYields[run.mTask].mInProgress = true;
+    aWorker.mBeingFreed += mState.FindStep(run.mTask)->Booked();
   }
 }
 
 void
-yield_book::Spare(const run_ref& aRun, plan_worker& aWorker)
+preemption_planner::CancelPreemption(const run_ref& aRun, plan_worker& aWorker)
 {
-  mYields[aRun.mTask].mUnderWay = false;
-  aWorker.mLeaving -= mState.FindStep(aRun.mTask)->Booked();
+  mYields[aRun.mTask].mInProgress = false;
+  aWorker.mBeingFreed -= mState.FindStep(aRun.mTask)->Booked();
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/preemption.h
+++ b/oriolewalk/flow/preemption.h
@@ -28,25 +28,25 @@
 namespace oriolewalk::flow {
 
 // How often a task has given way, and whether it is doing so now.
-struct yield_record
+struct preemption_record
 {
-  int mTimes = 0;
-  bool mUnderWay = false;
+  int mCount = 0;
+  bool mInProgress = false;
 };
-using yield_records = std::map<task_ref, yield_record>;
+using preemption_records = std::map<task_ref, preemption_record>;
 
-class yield_book
+class preemption_planner
 {
 public:
-  yield_book(const flow_state& aState, yield_records aYields);
+  preemption_planner(const flow_state& aState, preemption_records aYields);
 
   // None, if enough may not be stopped there; empty, if nothing need be.
-  std::optional<std::vector<run_ref>> RunsToStop(const open_step& aStep,
-                                                 const plan_worker& aWorker);
+  std::optional<std::vector<run_ref>> RunsToPreempt(const open_step& aStep,
+                                                    const plan_worker& aWorker);
   // They give way: their room counts as leaving, and nobody else gets it.
-  void Stop(const std::vector<run_ref>& aRuns, plan_worker& aWorker);
+  void Preempt(const std::vector<run_ref>& aRuns, plan_worker& aWorker);
   // Takes that back.
-  void Spare(const run_ref& aRun, plan_worker& aWorker);
+  void CancelPreemption(const run_ref& aRun, plan_worker& aWorker);
 
 private:
   struct candidate
@@ -64,7 +64,7 @@
   [[nodiscard]] bool MayYield(const task_ref& aTask) const;
 
   const flow_state& mState;
-  yield_records mYields;
+  preemption_records mYields;
   std::map<worker_number, std::vector<candidate>> mCandidates;
   std::map<service_id, int> mLastPriority;
 };
--- a/oriolewalk/flow/records.h
+++ b/oriolewalk/flow/records.h
@@ -37,17 +37,17 @@
 struct step_record
 {
   std::vector<task_record> mTasks;
-  std::uint32_t mDone = 0;
+  std::uint32_t mDoneTasks = 0;
   // Of a gang: ends as failed count once for each attempt of the whole.
   std::uint32_t mGangFailures = 0;
-  attempt_t mLastFailed = 0;
+  attempt_t mLastFailedAttempt = 0;
 
-  [[nodiscard]] bool IsDone() const { return mDone == mTasks.size(); }
+  [[nodiscard]] bool IsDone() const { return mDoneTasks == mTasks.size(); }
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mTasks, mDone, mGangFailures, mLastFailed);
+    aArchive(mTasks, mDoneTasks, mGangFailures, mLastFailedAttempt);
   }
 };
 
@@ -55,13 +55,13 @@
 {
   std::vector<step_record> mSteps;
   std::int64_t mOpenedWallMs = 0;
-  bool mBegun = false; // a task has been placed
+  bool mHasStarted = false; // a task has been placed
   bool mDone = false;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mSteps, mOpenedWallMs, mBegun, mDone);
+    aArchive(mSteps, mOpenedWallMs, mHasStarted, mDone);
   }
 };
 
@@ -81,9 +81,9 @@
   std::int64_t mSubmittedWallMs = 0;
   std::int64_t mEndedWallMs = 0;
   std::uint32_t mNextOccurrence = 0;
-  bool mBegun = false;
+  bool mHasStarted = false;
   std::map<std::uint32_t, occurrence_record> mOccurrences;
-  std::uint32_t mPlaced = 0; // runs that may be under way
+  std::uint32_t mPlacedRuns = 0; // runs that may be under way
 
   [[nodiscard]] bool IsActive() const { return mState == job_state::Active; }
 
@@ -96,15 +96,15 @@
              mSubmittedWallMs,
              mEndedWallMs,
              mNextOccurrence,
-             mBegun,
+             mHasStarted,
              mOccurrences,
-             mPlaced);
+             mPlacedRuns);
   }
 };
 
 struct worker_record
 {
-  worker_facts mFacts;
+  worker_description mDescription;
   bool mDraining = false;
   // Up to here its ends are in the state: the worker may forget them.
   std::uint64_t mCursor = 0;
@@ -112,7 +112,7 @@
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mFacts, mDraining, mCursor);
+    aArchive(mDescription, mDraining, mCursor);
   }
 };
 
--- a/oriolewalk/flow/relay_assignment.cc
+++ b/oriolewalk/flow/relay_assignment.cc
@@ -29,9 +29,9 @@
 } // namespace
 
 void
-carrier_choice::Update(const std::vector<std::string>& aOthers,
-                       std::size_t aWorkers,
-                       time_point aNow)
+relay_assignment::Update(const std::vector<std::string>& aOthers,
+                         std::size_t aWorkers,
+                         time_point aNow)
 {
   std::erase_if(mAsideUntil,
                 [&](const auto& aEntry) { return aEntry.second <= aNow; });
@@ -50,7 +50,7 @@
 }
 
 const std::string&
-carrier_choice::For(worker_number aWorker) const
+relay_assignment::RelayFor(worker_number aWorker) const
 {
   static const std::string sLeader;
   const auto best =
@@ -61,7 +61,7 @@
 }
 
 void
-carrier_choice::Failed(const std::string& aAddress, time_point aNow)
+relay_assignment::OnRelayFailure(const std::string& aAddress, time_point aNow)
 {
   mAsideUntil[aAddress] = aNow + kAside;
   std::erase(mCarriers, aAddress);
--- a/oriolewalk/flow/relay_assignment.h
+++ b/oriolewalk/flow/relay_assignment.h
@@ -26,11 +26,11 @@
 
 namespace oriolewalk::flow {
 
-class carrier_choice
+class relay_assignment
 {
 public:
   // aAlone: up to so many workers the leader makes all calls itself.
-  explicit carrier_choice(std::size_t aAlone)
+  explicit relay_assignment(std::size_t aAlone)
     : mAlone(aAlone)
   {
   }
@@ -41,10 +41,10 @@
               std::size_t aWorkers,
               time_point aNow);
   // Stays the same while its carrier does: a worker's connections are kept.
-  [[nodiscard]] const std::string& For(worker_number aWorker) const;
+  [[nodiscard]] const std::string& RelayFor(worker_number aWorker) const;
   // Its orders could not be handed over: it carries nothing for a while.
-  void Failed(const std::string& aAddress, time_point aNow);
-  [[nodiscard]] const std::vector<std::string>& Carriers() const
+  void OnRelayFailure(const std::string& aAddress, time_point aNow);
+  [[nodiscard]] const std::vector<std::string>& Relays() const
   {
     return mCarriers;
   }
--- a/oriolewalk/flow/reservations.cc
+++ b/oriolewalk/flow/reservations.cc
@@ -17,9 +17,10 @@
 MissingShare(const open_step& aStep, const plan_worker& aWorker)
 {
   const cell::resources missing =
-    aStep.mSpec->Booked() - (aWorker.mFree + aWorker.mLeaving - aWorker.mHeld);
+    aStep.mSpec->Booked() -
+    (aWorker.mFree + aWorker.mBeingFreed - aWorker.mReserved);
   const auto amounts = missing.Amounts();
-  const auto capacity = aWorker.mFacts->mCapacity.Amounts();
+  const auto capacity = aWorker.mDescription->mCapacity.Amounts();
   double most = 0;
   for (std::size_t place = 0; place < amounts.size(); ++place) {
     if (capacity[place] > 0) {
@@ -36,8 +37,8 @@
 bool
 IsPromised(const open_step& aStep, const plan_worker& aWorker)
 {
-  return !aStep.mSpec->Booked().FitsIn(aWorker.mFacts->mCapacity -
-                                       aWorker.mHeld);
+  return !aStep.mSpec->Booked().FitsIn(aWorker.mDescription->mCapacity -
+                                       aWorker.mReserved);
 }
 
 // The candidate of least aCost(worker); those for which it gives none are left
@@ -60,25 +61,25 @@
 
 } // namespace
 
-hold_finder::hold_finder(const flow_state& aState,
-                         yield_records aYields,
-                         const plan_policy& aPolicy)
+reservation_planner::reservation_planner(const flow_state& aState,
+                                         preemption_records aYields,
+                                         const plan_policy& aPolicy)
   : mYields(aState, std::move(aYields))
   , mPolicy(aPolicy)
 {
 }
 
-hold
-hold_finder::Find(const open_step& aStep,
-                  std::span<const std::uint32_t> aTasks,
-                  std::span<plan_worker* const> aCandidates,
-                  step_places& aPlaces)
+capacity_reservation
+reservation_planner::Reserve(const open_step& aStep,
+                             std::span<const std::uint32_t> aTasks,
+                             std::span<plan_worker* const> aCandidates,
+                             step_placement& aPlaces)
 {
-  hold found;
+  capacity_reservation found;
   for (const std::uint32_t task : aTasks) {
     if (!FindOne(aStep, task, aCandidates, aPlaces, found)) {
       if (aStep.mSpec->mGang) {
-        Drop(aStep, found);
+        Release(aStep, found);
         return {};
       }
       break; // the tasks of a step are alike
@@ -88,71 +89,71 @@
 }
 
 bool
-hold_finder::FindOne(const open_step& aStep,
-                     std::uint32_t aTask,
-                     std::span<plan_worker* const> aCandidates,
-                     step_places& aPlaces,
-                     hold& aFound)
+reservation_planner::FindOne(const open_step& aStep,
+                             std::uint32_t aTask,
+                             std::span<plan_worker* const> aCandidates,
+                             step_placement& aPlaces,
+                             capacity_reservation& aFound)
 {
-  plan_worker* worker = aPlaces.Best(aTask, {}, aCandidates, FitsSoon);
+  plan_worker* worker = aPlaces.BestWorker(aTask, {}, aCandidates, FitsSoon);
   if (worker == nullptr && mPolicy.mPreempts) {
     worker = Preempt(aStep, aTask, aCandidates, aPlaces, aFound);
   }
   if (worker == nullptr) {
     worker = Drain(aStep, aTask, aCandidates, aPlaces);
-    aFound.mDraining += worker == nullptr ? 0 : 1;
+    aFound.mDrainingTasks += worker == nullptr ? 0 : 1;
   }
   if (worker == nullptr) {
     return false;
   }
-  worker->mHeld += aStep.mSpec->Booked();
-  aPlaces.Take(*worker);
+  worker->mReserved += aStep.mSpec->Booked();
+  aPlaces.AddTask(*worker);
   aFound.mWorkers.push_back(worker);
   return true;
 }
 
 plan_worker*
-hold_finder::Preempt(const open_step& aStep,
-                     std::uint32_t aTask,
-                     std::span<plan_worker* const> aCandidates,
-                     const step_places& aPlaces,
-                     hold& aFound)
+reservation_planner::Preempt(const open_step& aStep,
+                             std::uint32_t aTask,
+                             std::span<plan_worker* const> aCandidates,
+                             const step_placement& aPlaces,
+                             capacity_reservation& aFound)
 {
   plan_worker* worker =
     Cheapest(aCandidates, [&](plan_worker& aWorker) -> std::optional<double> {
-      if (!CanHold(aStep, aWorker) || aWorker.mAvoided ||
-          !aPlaces.MayRun(aTask, {}, aWorker)) {
+      if (!FitsWhenEmpty(aStep, aWorker) || aWorker.mAvoided ||
+          !aPlaces.CanRun(aTask, {}, aWorker)) {
         return std::nullopt;
       }
-      const auto runs = mYields.RunsToStop(aStep, aWorker);
+      const auto runs = mYields.RunsToPreempt(aStep, aWorker);
       return runs ? std::optional<double>(static_cast<double>(runs->size()))
                   : std::nullopt;
     });
   if (worker == nullptr) {
     return nullptr;
   }
-  const auto runs = mYields.RunsToStop(aStep, *worker);
-  mYields.Stop(*runs, *worker);
+  const auto runs = mYields.RunsToPreempt(aStep, *worker);
+  mYields.Preempt(*runs, *worker);
   for (const run_ref& run : *runs) {
-    aFound.mStops.push_back({ run, worker });
+    aFound.mPreemptions.push_back({ run, worker });
   }
   return worker;
 }
 
 plan_worker*
-hold_finder::Drain(const open_step& aStep,
-                   std::uint32_t aTask,
-                   std::span<plan_worker* const> aCandidates,
-                   const step_places& aPlaces)
+reservation_planner::Drain(const open_step& aStep,
+                           std::uint32_t aTask,
+                           std::span<plan_worker* const> aCandidates,
+                           const step_placement& aPlaces)
 {
   std::size_t& draining = mDraining[aStep.mQueue->mService];
-  if (!mPolicy.mHolds || draining >= kMostDraining) {
+  if (!mPolicy.mReservesCapacity || draining >= kMostDraining) {
     return nullptr;
   }
   plan_worker* worker =
     Cheapest(aCandidates, [&](plan_worker& aWorker) -> std::optional<double> {
-      if (!CanHold(aStep, aWorker) || IsPromised(aStep, aWorker) ||
-          aWorker.mAvoided || !aPlaces.MayRun(aTask, {}, aWorker)) {
+      if (!FitsWhenEmpty(aStep, aWorker) || IsPromised(aStep, aWorker) ||
+          aWorker.mAvoided || !aPlaces.CanRun(aTask, {}, aWorker)) {
         return std::nullopt;
       }
       return MissingShare(aStep, aWorker);
@@ -162,15 +163,16 @@
 }
 
 void
-hold_finder::Drop(const open_step& aStep, const hold& aHold)
+reservation_planner::Release(const open_step& aStep,
+                             const capacity_reservation& aHold)
 {
   for (plan_worker* worker : aHold.mWorkers) {
-    worker->mHeld -= aStep.mSpec->Booked();
+    worker->mReserved -= aStep.mSpec->Booked();
   }
-  for (const auto& [run, worker] : aHold.mStops) {
-    mYields.Spare(run, *worker);
+  for (const auto& [run, worker] : aHold.mPreemptions) {
+    mYields.CancelPreemption(run, *worker);
   }
-  mDraining[aStep.mQueue->mService] -= aHold.mDraining;
+  mDraining[aStep.mQueue->mService] -= aHold.mDrainingTasks;
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/reservations.h
+++ b/oriolewalk/flow/reservations.h
@@ -27,52 +27,53 @@
 
 namespace oriolewalk::flow {
 
-struct hold
+struct capacity_reservation
 {
-  struct yielding_run
+  struct preempted_run
   {
     run_ref mRun;
     plan_worker* mWorker = nullptr;
   };
 
   std::vector<plan_worker*> mWorkers; // one for each task
-  std::vector<yielding_run> mStops;
-  std::size_t mDraining = 0; // tasks that wait for runs to end by themselves
+  std::vector<preempted_run> mPreemptions;
+  std::size_t mDrainingTasks =
+    0; // tasks that wait for runs to end by themselves
 };
 
-class hold_finder
+class reservation_planner
 {
 public:
-  hold_finder(const flow_state& aState,
-              yield_records aYields,
-              const plan_policy& aPolicy);
+  reservation_planner(const flow_state& aState,
+                      preemption_records aYields,
+                      const plan_policy& aPolicy);
 
   // Room for as many of aTasks as possible, or for all of a gang's; books it
   // with the candidates until Drop.
-  hold Find(const open_step& aStep,
-            std::span<const std::uint32_t> aTasks,
-            std::span<plan_worker* const> aCandidates,
-            step_places& aPlaces);
+  capacity_reservation Reserve(const open_step& aStep,
+                               std::span<const std::uint32_t> aTasks,
+                               std::span<plan_worker* const> aCandidates,
+                               step_placement& aPlaces);
   // Takes back what Find booked.
-  void Drop(const open_step& aStep, const hold& aHold);
+  void Release(const open_step& aStep, const capacity_reservation& aHold);
 
 private:
   bool FindOne(const open_step& aStep,
                std::uint32_t aTask,
                std::span<plan_worker* const> aCandidates,
-               step_places& aPlaces,
-               hold& aFound);
+               step_placement& aPlaces,
+               capacity_reservation& aFound);
   plan_worker* Preempt(const open_step& aStep,
                        std::uint32_t aTask,
                        std::span<plan_worker* const> aCandidates,
-                       const step_places& aPlaces,
-                       hold& aFound);
+                       const step_placement& aPlaces,
+                       capacity_reservation& aFound);
   [[nodiscard]] plan_worker* Drain(const open_step& aStep,
                                    std::uint32_t aTask,
                                    std::span<plan_worker* const> aCandidates,
-                                   const step_places& aPlaces);
+                                   const step_placement& aPlaces);
 
-  yield_book mYields;
+  preemption_planner mYields;
   const plan_policy& mPolicy;
   std::map<service_id, std::size_t> mDraining; // tasks, by service
 };
--- a/oriolewalk/flow/straggler_detector.cc
+++ b/oriolewalk/flow/straggler_detector.cc
@@ -31,15 +31,15 @@
 } // namespace
 
 void
-straggler_watch::Began(const run_ref& aRun, time_point aNow)
+straggler_detector::OnRunStarted(const run_ref& aRun, time_point aNow)
 {
   mBegan[aRun] = aNow;
 }
 
 std::optional<double>
-straggler_watch::Ended(const run_ref& aRun,
-                       run_outcome aOutcome,
-                       time_point aNow)
+straggler_detector::OnRunEnded(const run_ref& aRun,
+                               run_outcome aOutcome,
+                               time_point aNow)
 {
   const auto began = mBegan.extract(aRun);
   if (began.empty() || aOutcome != run_outcome::Done) {
@@ -57,7 +57,7 @@
 }
 
 bool
-straggler_watch::IsStraggler(const run_ref& aRun, time_point aNow)
+straggler_detector::MarkIfStraggler(const run_ref& aRun, time_point aNow)
 {
   const auto began = mBegan.find(aRun);
   const auto step = mSteps.find(StepOf(aRun.mTask));
@@ -74,15 +74,15 @@
 }
 
 void
-straggler_watch::Forget(const job_id& aJob)
+straggler_detector::Forget(const job_id& aJob)
 {
-  EraseFrom(mBegan, { { aJob, 0, 0, 0 }, 0 }, [&](const run_ref& aRun) {
+  EraseWhile(mBegan, { { aJob, 0, 0, 0 }, 0 }, [&](const run_ref& aRun) {
     return aRun.mTask.mJob == aJob;
   });
-  EraseFrom(mSteps, { aJob, 0, 0 }, [&](const step_ref& aStep) {
+  EraseWhile(mSteps, { aJob, 0, 0 }, [&](const step_ref& aStep) {
     return aStep.mJob == aJob;
   });
-  EraseFrom(mTakenBack, { aJob, 0, 0, 0 }, [&](const task_ref& aTask) {
+  EraseWhile(mTakenBack, { aJob, 0, 0, 0 }, [&](const task_ref& aTask) {
     return aTask.mJob == aJob;
   });
 }
--- a/oriolewalk/flow/straggler_detector.h
+++ b/oriolewalk/flow/straggler_detector.h
@@ -27,18 +27,18 @@
 
 namespace oriolewalk::flow {
 
-class straggler_watch
+class straggler_detector
 {
 public:
-  void Began(const run_ref& aRun, time_point aNow);
+  void OnRunStarted(const run_ref& aRun, time_point aNow);
   // How long it took against the step's finished tasks; none for the first
   // one, and for runs that were begun by an earlier leader.
-  std::optional<double> Ended(const run_ref& aRun,
-                              run_outcome aOutcome,
-                              time_point aNow);
+  std::optional<double> OnRunEnded(const run_ref& aRun,
+                                   run_outcome aOutcome,
+                                   time_point aNow);
   // Whether the run has taken so long that it should be taken back. Counts it
   // as taken back if so.
-  bool IsStraggler(const run_ref& aRun, time_point aNow);
+  bool MarkIfStraggler(const run_ref& aRun, time_point aNow);
   void Forget(const job_id& aJob);
 
 private:
--- a/oriolewalk/flow/suspect_isolation.cc
+++ b/oriolewalk/flow/suspect_isolation.cc
@@ -25,22 +25,22 @@
 worker_suspects::Add(suspicion aOne)
 {
   mCount += aOne != suspicion::None ? 1 : 0;
-  mPrimes += aOne == suspicion::Prime ? 1 : 0;
+  mHighSuspicion += aOne == suspicion::High ? 1 : 0;
 }
 
 void
 worker_suspects::Remove(suspicion aOne)
 {
   mCount -= aOne != suspicion::None ? 1 : 0;
-  mPrimes -= aOne == suspicion::Prime ? 1 : 0;
+  mHighSuspicion -= aOne == suspicion::High ? 1 : 0;
 }
 
 std::uint32_t
-suspicions::MostOf(const crash_book& aBook, const job_id& aJob) const
+suspect_summary::MaxStarts(const crash_tracker& aBook, const job_id& aJob) const
 {
   const auto& records = aBook.Records();
   const auto isPrime = [&](const auto& aEntry) {
-    return aEntry.second.Suspicion() == suspicion::Prime;
+    return aEntry.second.Suspicion() == suspicion::High;
   };
   const auto first = records.lower_bound({ aJob, 0, 0, 0 });
   const auto last = std::find_if(first, records.end(), [&](const auto& aEntry) {
@@ -49,12 +49,14 @@
   if (std::none_of(first, last, isPrime)) {
     return std::numeric_limits<std::uint32_t>::max();
   }
-  const auto running = mOfJob.find(aJob);
-  return running == mOfJob.end() || running->second == 0 ? kMostOfPrimeJob : 0;
+  const auto running = mRunningByJob.find(aJob);
+  return running == mRunningByJob.end() || running->second == 0
+           ? kMostOfPrimeJob
+           : 0;
 }
 
 void
-probation::Lost(std::span<const run_ref> aRuns, time_point aNow)
+suspect_isolation::OnRunsLost(std::span<const run_ref> aRuns, time_point aNow)
 {
   for (const run_ref& run : aRuns) {
     mLostAt[run.mTask] = aNow;
@@ -62,22 +64,23 @@
 }
 
 void
-probation::Forget(const job_id& aJob)
+suspect_isolation::Forget(const job_id& aJob)
 {
-  EraseFrom(mLostAt, { aJob, 0, 0, 0 }, [&](const task_ref& aTask) {
+  EraseWhile(mLostAt, { aJob, 0, 0, 0 }, [&](const task_ref& aTask) {
     return aTask.mJob == aJob;
   });
 }
 
 bool
-probation::IsHeld(const crash_book& aBook,
-                  const task_ref& aTask,
-                  std::uint32_t aLosses,
-                  time_point aNow)
+suspect_isolation::IsHeld(const crash_tracker& aBook,
+                          const task_ref& aTask,
+                          std::uint32_t aLosses,
+                          time_point aNow)
 {
   const crash_record* record = aBook.Find(aTask);
   const std::uint32_t away =
-    aLosses + (record == nullptr ? 0 : record->mCrashes + record->mUnknown);
+    aLosses +
+    (record == nullptr ? 0 : record->mCrashes + record->mUnexplainedLosses);
   if (away < kWaitsAfter) {
     return false;
   }
@@ -86,17 +89,17 @@
   return away >= kHeldAfter || aNow < lostAt + kLossWait;
 }
 
-suspicions
-probation::Find(const flow_state& aState,
-                const std::map<task_ref, worker_number>& aProposed,
-                const fresh_rule& aIsFresh,
-                time_point aNow)
+suspect_summary
+suspect_isolation::Summarize(const flow_state& aState,
+                             const std::map<task_ref, worker_number>& aProposed,
+                             const newly_started_predicate& aIsFresh,
+                             time_point aNow)
 {
-  const crash_book& book = aState.Crashes();
-  suspicions found;
-  for (const auto& [task, losses] : book.Losses()) {
+  const crash_tracker& book = aState.Crashes();
+  suspect_summary found;
+  for (const auto& [task, losses] : book.UnresolvedLosses()) {
     if (IsHeld(book, task, losses, aNow)) {
-      found.mHeld.insert(task);
+      found.mBlocked.insert(task);
     }
   }
   for (const auto& [ref, record] : book.Records()) {
@@ -110,8 +113,9 @@
     if (!runs && proposed == aProposed.end()) {
       continue;
     }
-    found.mAt[runs ? task->mWorker : proposed->second].Add(record.Suspicion());
-    ++found.mOfJob[ref.mJob];
+    found.mByWorker[runs ? task->mWorker : proposed->second].Add(
+      record.Suspicion());
+    ++found.mRunningByJob[ref.mJob];
   }
   return found;
 }
--- a/oriolewalk/flow/suspect_isolation.h
+++ b/oriolewalk/flow/suspect_isolation.h
@@ -34,42 +34,42 @@
 struct worker_suspects
 {
   std::uint32_t mCount = 0;
-  std::uint32_t mPrimes = 0; // of those
+  std::uint32_t mHighSuspicion = 0; // of those
 
   void Add(suspicion aOne);
   void Remove(suspicion aOne);
 };
 
 // What one plan knows of suspects.
-struct suspicions
+struct suspect_summary
 {
-  std::set<task_ref> mHeld; // not to be started now
-  std::map<worker_number, worker_suspects> mAt;
-  std::map<job_id, std::uint32_t> mOfJob; // of those in mAt
+  std::set<task_ref> mBlocked; // not to be started now
+  std::map<worker_number, worker_suspects> mByWorker;
+  std::map<job_id, std::uint32_t> mRunningByJob; // of those in mAt
 
   // How many more suspects of the job may start now.
-  [[nodiscard]] std::uint32_t MostOf(const crash_book& aBook,
-                                     const job_id& aJob) const;
+  [[nodiscard]] std::uint32_t MaxStarts(const crash_tracker& aBook,
+                                        const job_id& aJob) const;
 };
 
-class probation
+class suspect_isolation
 {
 public:
   // Whether the run at that worker has just started.
-  using fresh_rule =
+  using newly_started_predicate =
     std::function<bool(worker_number aWorker, const run_ref& aRun)>;
 
   // They were given up with a worker that can't be reached.
-  void Lost(std::span<const run_ref> aRuns, time_point aNow);
+  void OnRunsLost(std::span<const run_ref> aRuns, time_point aNow);
   void Forget(const job_id& aJob);
   // aProposed: starts that are not yet applied, and where.
-  suspicions Find(const flow_state& aState,
-                  const std::map<task_ref, worker_number>& aProposed,
-                  const fresh_rule& aIsFresh,
-                  time_point aNow);
+  suspect_summary Summarize(const flow_state& aState,
+                            const std::map<task_ref, worker_number>& aProposed,
+                            const newly_started_predicate& aIsFresh,
+                            time_point aNow);
 
 private:
-  [[nodiscard]] bool IsHeld(const crash_book& aBook,
+  [[nodiscard]] bool IsHeld(const crash_tracker& aBook,
                             const task_ref& aTask,
                             std::uint32_t aLosses,
                             time_point aNow);
