--- a/oriolewalk/flow/types.h
+++ b/oriolewalk/flow/types.h
@@ -29,13 +29,13 @@
 using attempt_t = std::uint32_t;
 
 // What a policy service takes for one question.
-struct advice_terms
+struct advice_timing
 {
   double mBaseMs = 0;
   double mPerWorkerMs = 0;
   std::int64_t mValidMs = 0; // of a ticket
 
-  bool operator==(const advice_terms&) const = default;
+  bool operator==(const advice_timing&) const = default;
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
@@ -53,9 +53,9 @@
   std::int64_t mTimeoutMs = 0;
   std::int64_t mTargetMs = 0; // added to the stretched chain: the objective
   int mPriority = 0;          // 0 comes first
-  std::uint32_t mMostAttempts = 1;
+  std::uint32_t mMaxAttempts = 1;
   double mStretch = 1; // of the longest chain of work
-  std::optional<advice_terms> mAdvice;
+  std::optional<advice_timing> mAdvice;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
@@ -67,7 +67,7 @@
              mTimeoutMs,
              mTargetMs,
              mPriority,
-             mMostAttempts,
+             mMaxAttempts,
              mStretch,
              mAdvice);
   }
@@ -76,18 +76,18 @@
 struct service_row
 {
   service_id mName;
-  bool mWorkersRefuse = false; // its workers refuse what doesn't fit
-  bool mStandby = false;       // its instances are switched off
+  bool mHasAdmissionControl = false; // its workers refuse what doesn't fit
+  bool mStandby = false;             // its instances are switched off
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mName, mWorkersRefuse, mStandby);
+    aArchive(mName, mHasAdmissionControl, mStandby);
   }
 };
 
 // What an entry accepts from callers. 0: no limit given.
-struct front_limits
+struct entry_limits
 {
   std::int64_t mHeaderBytes = 0;
   std::int64_t mBodyBytes = 0;
@@ -107,7 +107,7 @@
   std::int64_t mVersion = 0; // 0: none yet
   std::vector<queue_row> mQueues;
   std::vector<service_row> mServices;
-  front_limits mLimits;
+  entry_limits mLimits;
 
   [[nodiscard]] const queue_row* FindQueue(std::string_view aName) const;
   // The queue with this host whose prefix is the longest that aPath begins
@@ -135,22 +135,22 @@
   std::string mImage;                    // tasks of one image behave alike
   std::string mLabel;                    // that a worker must have
   std::string mDataRack;
-  std::uint32_t mMostPerWorker = 0; // 0: no bound
-  std::int64_t mTailTargetMs = 0;   // of a task that serves; 0: none
-  std::uint32_t mMayMiss = 0;
-  bool mLimitsMisses = false; // mMayMiss was given
+  std::uint32_t mMaxPerWorker = 0;       // 0: no bound
+  std::int64_t mTailLatencyTargetMs = 0; // of a task that serves; 0: none
+  std::uint32_t mMaxMisses = 0;
+  bool mHasMaxMisses = false; // mMayMiss was given
   bool mCheckpoints = false;
   bool mGang = false;
   bool mSameRack = false;
-  bool mCopies = false;  // copies may run in parallel
-  bool mLasting = false; // runs until the job is cancelled
-  bool mFills = false;   // takes what the others leave
+  bool mAllowsCopies = false; // copies may run in parallel
+  bool mLongRunning = false;  // runs until the job is cancelled
+  bool mBestEffort = false;   // takes what the others leave
 
   // What it takes from a worker's capacity.
   [[nodiscard]] cell::resources Booked() const
   {
     cell::resources booked = mSize;
-    if (mFills) {
+    if (mBestEffort) {
       booked.mMilliProcessors = 0;
     }
     return booked;
@@ -166,29 +166,29 @@
              mImage,
              mLabel,
              mDataRack,
-             mMostPerWorker,
-             mTailTargetMs,
-             mMayMiss,
-             mLimitsMisses,
+             mMaxPerWorker,
+             mTailLatencyTargetMs,
+             mMaxMisses,
+             mHasMaxMisses,
              mCheckpoints,
              mGang,
              mSameRack,
-             mCopies,
-             mLasting,
-             mFills);
+             mAllowsCopies,
+             mLongRunning,
+             mBestEffort);
   }
 };
 
 struct recurrence
 {
-  std::uint32_t mTimes = 0; // 0: not recurring
+  std::uint32_t mRepeatCount = 0; // 0: not recurring
   std::int64_t mFirstWallMs = 0;
-  std::int64_t mEveryMs = 0;
+  std::int64_t mPeriodMs = 0;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mTimes, mFirstWallMs, mEveryMs);
+    aArchive(mRepeatCount, mFirstWallMs, mPeriodMs);
   }
 };
 
@@ -252,7 +252,7 @@
 ToString(run_outcome aOutcome);
 
 // What a worker says of itself.
-struct worker_facts
+struct worker_description
 {
   worker_id mId;
   std::string mAddress;
@@ -263,14 +263,20 @@
   cell::resources mCapacity;
   // When its process started, in Unix ms; with mId it names one life of the
   // worker. 0: it doesn't say.
-  std::int64_t mBornMs = 0;
+  std::int64_t mProcessStartMs = 0;
 
-  bool operator==(const worker_facts&) const = default;
+  bool operator==(const worker_description&) const = default;
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(
-      mId, mAddress, mDataCentre, mService, mLabels, mRack, mCapacity, mBornMs);
+    aArchive(mId,
+             mAddress,
+             mDataCentre,
+             mService,
+             mLabels,
+             mRack,
+             mCapacity,
+             mProcessStartMs);
   }
 };
 
--- a/oriolewalk/flow/waits.cc
+++ b/oriolewalk/flow/waits.cc
@@ -23,7 +23,7 @@
 }
 
 std::vector<ended_wait>
-wait_account::Note(std::span<const waiting_step> aWaiting, time_point aNow)
+wait_tracker::Update(std::span<const waiting_step> aWaiting, time_point aNow)
 {
   ++mPlan;
   const auto add = [aNow](open_wait& aWait) {
--- a/oriolewalk/flow/waits.h
+++ b/oriolewalk/flow/waits.h
@@ -54,13 +54,13 @@
   wait_times mTimes{};
 };
 
-class wait_account
+class wait_tracker
 {
 public:
   // aWaiting: of a plan made at aNow. The time since the last plan goes to the
   // cause that each step had then. Returns the steps that wait no more.
-  std::vector<ended_wait> Note(std::span<const waiting_step> aWaiting,
-                               time_point aNow);
+  std::vector<ended_wait> Update(std::span<const waiting_step> aWaiting,
+                                 time_point aNow);
 
 private:
   struct open_wait
--- a/oriolewalk/flow/worker_health.cc
+++ b/oriolewalk/flow/worker_health.cc
@@ -23,9 +23,9 @@
 } // namespace
 
 void
-worker_health::Ended(worker_number aWorker,
-                     run_outcome aOutcome,
-                     time_point aNow)
+worker_health::OnRunEnded(worker_number aWorker,
+                          run_outcome aOutcome,
+                          time_point aNow)
 {
   record& worker = mWorkers[aWorker];
   if (aOutcome == run_outcome::Done) {
@@ -44,7 +44,7 @@
 }
 
 void
-worker_health::Took(worker_number aWorker, double aRatio)
+worker_health::OnTaskTime(worker_number aWorker, double aRatio)
 {
   if (aRatio <= 0) {
     return;
@@ -55,14 +55,14 @@
 }
 
 void
-worker_health::Stalled(worker_number aWorker, time_point aNow)
+worker_health::OnStall(worker_number aWorker, time_point aNow)
 {
   record& worker = mWorkers[aWorker];
   worker.mAvoidedUntil = std::max(worker.mAvoidedUntil, aNow + kStalledPause);
 }
 
 worker_standing
-worker_health::StandingOf(worker_number aWorker, time_point aNow) const
+worker_health::Standing(worker_number aWorker, time_point aNow) const
 {
   const auto found = mWorkers.find(aWorker);
   if (found == mWorkers.end()) {
--- a/oriolewalk/flow/worker_health.h
+++ b/oriolewalk/flow/worker_health.h
@@ -34,15 +34,15 @@
 class worker_health
 {
 public:
-  void Ended(worker_number aWorker, run_outcome aOutcome, time_point aNow);
+  void OnRunEnded(worker_number aWorker, run_outcome aOutcome, time_point aNow);
   // aRatio: how long a task took there against its finished siblings elsewhere.
-  void Took(worker_number aWorker, double aRatio);
+  void OnTaskTime(worker_number aWorker, double aRatio);
   // A run stands still there, or is far slower than its siblings.
-  void Stalled(worker_number aWorker, time_point aNow);
+  void OnStall(worker_number aWorker, time_point aNow);
   void Forget(worker_number aWorker) { mWorkers.erase(aWorker); }
 
-  [[nodiscard]] worker_standing StandingOf(worker_number aWorker,
-                                           time_point aNow) const;
+  [[nodiscard]] worker_standing Standing(worker_number aWorker,
+                                         time_point aNow) const;
 
 private:
   struct record
--- a/oriolewalk/flow/worker_order.h
+++ b/oriolewalk/flow/worker_order.h
@@ -22,7 +22,7 @@
 // taken for answers of other workers to other orders, and runs were given up
 // that went on.
 constexpr std::uint64_t
-NumberBefore(std::uint64_t aTerm)
+OrderIdBase(std::uint64_t aTerm)
 {
   constexpr unsigned kNumberBits = 32;
   return aTerm << kNumberBits;
@@ -65,7 +65,7 @@
 };
 
 // Renews the lease of all that runs, and looks.
-struct hold_order
+struct poll_order
 {
   std::uint64_t mCursor = 0; // ends up to here may be forgotten
   std::int64_t mWaitMs = 0;  // for an end, at the worker
@@ -90,18 +90,18 @@
 };
 
 using order_body =
-  std::variant<start_order, stop_order, hold_order, pace_order>;
+  std::variant<start_order, stop_order, poll_order, pace_order>;
 
 struct worker_order
 {
   std::uint64_t mId = 0;
   worker_number mWorker = 0;
-  worker_id mLife; // any other life must refuse it
+  worker_id mWorkerId; // any other life must refuse it
   // The one process of that life that may get it, as in worker_facts: it goes
   // only over a connection on which that process has told its start. 0: any.
-  std::int64_t mBornMs = 0;
+  std::int64_t mProcessStartMs = 0;
   std::string mAddress;
-  std::string mCarrier;     // RPC address of who makes the call; empty: leader
+  std::string mRelay;       // RPC address of who makes the call; empty: leader
   std::uint64_t mFence = 0; // FenceOf the leader's term and mWorker
   // Until when all that runs there may run, on the worker's clock.
   std::optional<std::int64_t> mLeaseClockMs;
@@ -110,8 +110,14 @@
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(
-      mId, mWorker, mLife, mBornMs, mAddress, mFence, mLeaseClockMs, mBody);
+    aArchive(mId,
+             mWorker,
+             mWorkerId,
+             mProcessStartMs,
+             mAddress,
+             mFence,
+             mLeaseClockMs,
+             mBody);
   }
 };
 
@@ -119,15 +125,15 @@
 {
   Done,
   Superseded,    // it knows a higher fence
-  Outlived,      // not higher than an attempt that was stopped or ended there
-  Late,          // its lease is over already
-  NoRoom,        // it doesn't fit
+  StaleAttempt,  // not higher than an attempt that was stopped or ended there
+  LeaseExpired,  // its lease is over already
+  NoCapacity,    // it doesn't fit
   TicketInvalid, // or out of date
   Malformed,     // it could not read the order
   Unhealthy,     // it has done nothing
-  OtherLife,     // the life that was meant is over
-  NoAnswer,      // it may have been done, or be done later
-  NotSent,       // surely not delivered; also if another process is there
+  OtherIncarnation, // the life that was meant is over
+  NoAnswer,         // it may have been done, or be done later
+  NotSent,          // surely not delivered; also if another process is there
 };
 
 struct listed_run
@@ -163,7 +169,7 @@
   std::optional<std::int64_t> mClockMs; // the worker's clock
   // Whose lists these are, or which process is there instead of the one that
   // the order was meant for; as in worker_facts.
-  std::int64_t mBornMs = 0;
+  std::int64_t mProcessStartMs = 0;
   // Of a hold.
   std::vector<listed_run> mRunning;
   std::vector<listed_end> mEnded;
@@ -171,7 +177,7 @@
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mResult, mClockMs, mBornMs, mRunning, mEnded);
+    aArchive(mResult, mClockMs, mProcessStartMs, mRunning, mEnded);
   }
 };
 
--- a/oriolewalk/flow/worker_supervisor.cc
+++ b/oriolewalk/flow/worker_supervisor.cc
@@ -1,5 +1,5 @@
-#include "oriolewalk/flow/whole_ms.h"
 #include "oriolewalk/flow/worker_supervisor.h"
+#include "oriolewalk/flow/whole_ms.h"
 
 #include <algorithm>
 #include <chrono>
@@ -24,7 +24,7 @@
 bool
 IsPlainLook(const worker_order& aOrder)
 {
-  const auto* hold = std::get_if<hold_order>(&aOrder.mBody);
+  const auto* hold = std::get_if<poll_order>(&aOrder.mBody);
   return hold != nullptr && hold->mCursor == 0 && !aOrder.mLeaseClockMs;
 }
 
@@ -38,64 +38,65 @@
 
 } // namespace
 
-worker_keeper::worker_keeper(const flow_state& aState,
-                             flow_options aOptions,
-                             std::uint64_t aTerm,
-                             time_point aNow,
-                             time_point aLedUntil)
+worker_supervisor::worker_supervisor(const flow_state& aState,
+                                     flow_options aOptions,
+                                     std::uint64_t aTerm,
+                                     time_point aNow,
+                                     time_point aLedUntil)
   : mState(aState)
   , mOptions(aOptions)
   , mTerm(aTerm)
-  , mLastOrder(NumberBefore(aTerm))
+  , mLastOrder(OrderIdBase(aTerm))
   , mTickedAt(aNow)
 {
   for (const auto& [number, worker] : mState.Workers()) {
     worker_view& view = mViews[number] = TakeOver(number, aNow);
     // Lost runs: the earlier leader didn't reach it, nor hear it.
-    if (aLedUntil != time_point::min() && !mState.Crashes().HasLost(number)) {
+    if (aLedUntil != time_point::min() &&
+        !mState.Crashes().HasLostRuns(number)) {
       // It may have missed the last heartbeat before it went.
-      view.mBeatAt = aLedUntil - mOptions.mHeartbeat;
+      view.mHeartbeatAt = aLedUntil - mOptions.mHeartbeatInterval;
     }
   }
 }
 
 time_point
-worker_keeper::LongestLapse(time_point aNow) const
+worker_supervisor::LongestLapse(time_point aNow) const
 {
-  return aNow + Stretch(mOptions.mLongestLease, mOptions.mSlowClock) +
+  return aNow + Stretch(mOptions.mMaxLease, mOptions.mMaxClockDrift) +
          kClockRounding;
 }
 
 worker_view
-worker_keeper::TakeOver(worker_number aWorker, time_point aNow) const
+worker_supervisor::TakeOver(worker_number aWorker, time_point aNow) const
 {
   worker_view view;
   // An earlier leader may have given the longest lease just before it lost its
   // place; it gives none afterwards.
-  view.mLapsesAt = LongestLapse(aNow);
-  view.mHeardAt = aNow;
-  view.mProbe = true;
-  for (const run_ref& run : mState.PlacedAt(aWorker)) {
+  view.mLeasesExpireAt = LongestLapse(aNow);
+  view.mLastContactAt = aNow;
+  view.mShortPollRequested = true;
+  for (const run_ref& run : mState.RunsAt(aWorker)) {
     view.mRuns[run].mInherited = true;
   }
   return view;
 }
 
 void
-worker_keeper::Heard(worker_number aWorker,
-                     std::int64_t aBeat,
-                     std::int64_t aClockMs,
-                     time_point aNow)
+worker_supervisor::OnHeartbeat(worker_number aWorker,
+                               std::int64_t aBeat,
+                               std::int64_t aClockMs,
+                               time_point aNow)
 {
   const auto found = mViews.find(aWorker);
-  if (found == mViews.end() || aBeat <= found->second.mBeat) {
+  if (found == mViews.end() || aBeat <= found->second.mHeartbeatNumber) {
     return;
   }
   worker_view& view = found->second;
-  view.mBeat = aBeat;
-  view.mBeatAt = aNow;
-  view.mIsChanging = false;
-  view.mHeardAt = aNow;
+  view.mHeartbeatNumber = aBeat;
+  view.mHeartbeatAt = aNow;
+  view.mHasUncommittedUpdate = false;
+  view.mLastContactAt = aNow;
   // A heartbeat may have been under way for long: an answer of late is better.
   if (!view.mHasClock || aNow - view.mClockAt > mOptions.mLease) {
     NoteClock(view, aClockMs, aNow);
@@ -103,7 +104,7 @@
 }
 
 void
-worker_keeper::Registered(worker_number aWorker, time_point aNow)
+worker_supervisor::OnRegistered(worker_number aWorker, time_point aNow)
 {
   const worker_record* record = mState.FindWorker(aWorker);
   if (record == nullptr) {
@@ -112,36 +113,36 @@
   if (!mViews.contains(aWorker)) {
     worker_view view = TakeOver(aWorker, aNow);
     if (view.mRuns.empty()) {
-      view.mLapsesAt = aNow; // nothing can run in a new life
+      view.mLeasesExpireAt = aNow; // nothing can run in a new life
     } else {
       // A worker that didn't tell its start before may still be the same
       // process, and get a start that is on its way.
-      view.mLapsesAt += mOptions.mAnswerBound;
+      view.mLeasesExpireAt += mOptions.mAnswerMargin;
     }
-    view.mBeatAt = aNow;
+    view.mHeartbeatAt = aNow;
     mViews.emplace(aWorker, std::move(view));
   }
-  mViews[aWorker].mIsChanging = false;
+  mViews[aWorker].mHasUncommittedUpdate = false;
   // Another life at the same address is over: one look there says so.
   for (auto& [number, view] : mViews) {
     const worker_record* other = mState.FindWorker(number);
     if (number != aWorker && other != nullptr &&
-        other->mFacts.mAddress == record->mFacts.mAddress) {
-      view.mProbe = true;
+        other->mDescription.mAddress == record->mDescription.mAddress) {
+      view.mShortPollRequested = true;
     }
   }
 }
 
 void
-worker_keeper::Removed(worker_number aWorker)
+worker_supervisor::OnRemoved(worker_number aWorker)
 {
   mViews.erase(aWorker);
 }
 
 void
-worker_keeper::NoteClock(worker_view& aView,
-                         std::int64_t aClockMs,
-                         time_point aNow)
+worker_supervisor::NoteClock(worker_view& aView,
+                             std::int64_t aClockMs,
+                             time_point aNow)
 {
   aView.mHasClock = true;
   aView.mClockMs = aClockMs;
@@ -149,18 +150,18 @@
 }
 
 std::uint64_t
-worker_keeper::Send(worker_number aWorker,
-                    order_body aBody,
-                    bool aWithLease,
-                    time_point aNow)
+worker_supervisor::Send(worker_number aWorker,
+                        order_body aBody,
+                        bool aWithLease,
+                        time_point aNow)
 {
   const worker_record* record = mState.FindWorker(aWorker);
   worker_view& view = mViews[aWorker];
   worker_order order;
   order.mId = ++mLastOrder;
   order.mWorker = aWorker;
-  order.mLife = record->mFacts.mId;
-  order.mAddress = record->mFacts.mAddress;
+  order.mWorkerId = record->mDescription.mId;
+  order.mAddress = record->mDescription.mAddress;
   order.mFence = FenceOf(mTerm, aWorker);
   if (aWithLease && view.mHasClock) {
     const duration age = aNow - view.mClockAt;
@@ -168,14 +169,14 @@
     // The worker's clock may have gained less than ours since its answer.
     const duration lease =
       mOptions.mLease +
-      std::chrono::duration_cast<duration>(age * mOptions.mSlowClock);
-    view.mLapsesAt =
-      std::max(view.mLapsesAt,
-               aNow + Stretch(lease, mOptions.mSlowClock) + kClockRounding);
+      std::chrono::duration_cast<duration>(age * mOptions.mMaxClockDrift);
+    view.mLeasesExpireAt =
+      std::max(view.mLeasesExpireAt,
+               aNow + Stretch(lease, mOptions.mMaxClockDrift) + kClockRounding);
   }
   order.mBody = aBody;
   if (!IsPlainLook(order)) {
-    order.mBornMs = record->mFacts.mBornMs;
+    order.mProcessStartMs = record->mDescription.mProcessStartMs;
   }
   mOpen[order.mId] = { aWorker, std::move(aBody), aNow };
   mOrders.push_back(std::move(order));
@@ -183,9 +184,9 @@
 }
 
 void
-worker_keeper::Begin(const run_start& aStart,
-                     std::string aTicket,
-                     time_point aNow)
+worker_supervisor::OnStartCommitted(const run_start& aStart,
+                                    std::string aTicket,
+                                    time_point aNow)
 {
   const auto found = mViews.find(aStart.mWorker);
   const task_record* task = mState.FindTask(aStart.mRun.mTask);
@@ -203,27 +204,27 @@
 }
 
 void
-worker_keeper::WantStop(worker_number aWorker,
-                        const run_ref& aRun,
-                        time_point aNow)
+worker_supervisor::RequestStop(worker_number aWorker,
+                               const run_ref& aRun,
+                               time_point aNow)
 {
   const auto found = mViews.find(aWorker);
   if (found == mViews.end()) {
     return;
   }
   const auto run = found->second.mRuns.find(aRun);
-  if (run != found->second.mRuns.end() && !run->second.mStopWanted) {
-    run->second.mStopWanted = true;
-    run->second.mStopAgainAt = aNow;
-    found->second.mTendRuns = true;
+  if (run != found->second.mRuns.end() && !run->second.mStopRequested) {
+    run->second.mStopRequested = true;
+    run->second.mStopRetryAt = aNow;
+    found->second.mHasRunsToResolve = true;
   }
 }
 
 void
-worker_keeper::Pace(worker_number aWorker,
-                    const run_ref& aRun,
-                    int aPercent,
-                    time_point aNow)
+worker_supervisor::SetPace(worker_number aWorker,
+                           const run_ref& aRun,
+                           int aPercent,
+                           time_point aNow)
 {
   const auto found = mViews.find(aWorker);
   if (found == mViews.end()) {
@@ -237,27 +238,27 @@
 }
 
 void
-worker_keeper::EndsApplied(worker_number aWorker, time_point aNow)
+worker_supervisor::OnEndsApplied(worker_number aWorker, time_point aNow)
 {
   const auto found = mViews.find(aWorker);
   if (found == mViews.end()) {
     return;
   }
-  found->second.mEndsUnderWay = false;
-  found->second.mNextLook = aNow;
+  found->second.mHasUncommittedEnds = false;
+  found->second.mNextPollAt = aNow;
   SyncRuns(aWorker, found->second);
 }
 
 // Without this a task that worked for minutes on a worker that crashed begins
 // anew: the worker can't list an end, so nothing else tells how far it was.
 void
-worker_keeper::KeepCheckpoints(worker_number aWorker)
+worker_supervisor::SaveCheckpoints(worker_number aWorker)
 {
   const auto found = mViews.find(aWorker);
   if (found == mViews.end()) {
     return;
   }
-  keep_checkpoints keep;
+  save_checkpoints keep;
   for (const auto& [run, view] : found->second.mRuns) {
     const task_record* task = mState.FindTask(run.mTask);
     if (!view.mCheckpoint.empty() && task != nullptr &&
@@ -271,7 +272,7 @@
 }
 
 void
-worker_keeper::RunsDropped(worker_number aWorker)
+worker_supervisor::OnRunsDropped(worker_number aWorker)
 {
   if (const auto found = mViews.find(aWorker); found != mViews.end()) {
     SyncRuns(aWorker, found->second);
@@ -282,7 +283,7 @@
 // is placed there, not on each tick: a look-up of every run a hundred times a
 // second cost a leader of 350 workers a tenth of its processor.
 void
-worker_keeper::SyncRuns(worker_number aWorker, worker_view& aView)
+worker_supervisor::SyncRuns(worker_number aWorker, worker_view& aView)
 {
   std::erase_if(aView.mRuns, [&](const auto& aRun) {
     return !mState.IsPlaced(aRun.first, aWorker);
@@ -290,85 +291,87 @@
 }
 
 void
-worker_keeper::DropLapsed(worker_number aWorker,
-                          worker_view& aView,
-                          time_point aNow)
+worker_supervisor::DropLapsed(worker_number aWorker,
+                              worker_view& aView,
+                              time_point aNow)
 {
-  if (aNow < aView.mLapsesAt || aNow < aView.mNextDrop ||
+  if (aNow < aView.mLeasesExpireAt || aNow < aView.mNextExpiryCheckAt ||
       !IsUnreachable(aView, aNow)) {
     return;
   }
-  if (mState.PlacedAt(aWorker).empty()) {
+  if (mState.RunsAt(aWorker).empty()) {
     return;
   }
-  KeepCheckpoints(aWorker);
+  SaveCheckpoints(aWorker);
   LoseRuns(aWorker, aView);
-  aView.mNextDrop = aNow + mOptions.mAnswerBound;
+  aView.mNextExpiryCheckAt = aNow + mOptions.mAnswerMargin;
 }
 
 bool
-worker_keeper::NeedsLook(const worker_view& aView)
+worker_supervisor::NeedsLook(const worker_view& aView)
 {
-  return !aView.mRuns.empty() || aView.mTellCursor;
+  return !aView.mRuns.empty() || aView.mShouldSendCursor;
 }
 
 std::uint64_t
-worker_keeper::Look(worker_number aWorker,
-                    worker_view& aView,
-                    milliseconds aWait,
-                    time_point aNow)
+worker_supervisor::Look(worker_number aWorker,
+                        worker_view& aView,
+                        milliseconds aWait,
+                        time_point aNow)
 {
   const std::uint64_t cursor =
-    aView.mTellCursor ? mState.FindWorker(aWorker)->mCursor : 0;
+    aView.mShouldSendCursor ? mState.FindWorker(aWorker)->mCursor : 0;
   // Nothing is promised to a worker that doesn't answer: a lease that may have
   // reached it would put off the moment when its work may go elsewhere.
-  const bool lease = aView.mFailures == 0 && !aView.mOutlived;
-  return Send(aWorker, hold_order{ cursor, aWait.count() }, lease, aNow);
+  const bool lease = aView.mFailedPolls == 0 && !aView.mHasNewerIncarnation;
+  return Send(aWorker, poll_order{ cursor, aWait.count() }, lease, aNow);
 }
 
 void
-worker_keeper::TickLooks(worker_number aWorker,
-                         worker_view& aView,
-                         time_point aNow)
+worker_supervisor::TickLooks(worker_number aWorker,
+                             worker_view& aView,
+                             time_point aNow)
 {
-  if (aNow < aView.mNextLook) {
+  if (aNow < aView.mNextPollAt) {
     return;
   }
-  const bool quick =
-    aView.mProbe || !aView.mSynced || aView.mFailures > 0 || aView.mOutlived;
-  if (quick && aView.mQuickLook == 0) {
-    aView.mProbe = false;
-    aView.mQuickLook = Look(aWorker, aView, milliseconds(0), aNow);
+  const bool quick = aView.mShortPollRequested || !aView.mSynced ||
+                     aView.mFailedPolls > 0 || aView.mHasNewerIncarnation;
+  if (quick && aView.mShortPoll == 0) {
+    aView.mShortPollRequested = false;
+    aView.mShortPoll = Look(aWorker, aView, milliseconds(0), aNow);
   }
-  if (!quick && aView.mLook == 0 && !aView.mEndsUnderWay && NeedsLook(aView)) {
-    const bool shared = mState.AmountsAt(aWorker).mFilling > 0;
-    aView.mLook = Look(aWorker,
-                       aView,
-                       shared ? mOptions.mSharedLookWait : mOptions.mLookWait,
-                       aNow);
+  if (!quick && aView.mLongPoll == 0 && !aView.mHasUncommittedEnds &&
+      NeedsLook(aView)) {
+    const bool shared = mState.TotalsAt(aWorker).mBestEffort > 0;
+    aView.mLongPoll =
+      Look(aWorker,
+           aView,
+           shared ? mOptions.mSharedLongPollWait : mOptions.mLongPollWait,
+           aNow);
   }
 }
 
 void
-worker_keeper::TickRuns(worker_number aWorker,
-                        worker_view& aView,
-                        time_point aNow)
+worker_supervisor::TickRuns(worker_number aWorker,
+                            worker_view& aView,
+                            time_point aNow)
 {
-  if (!aView.mTendRuns) {
+  if (!aView.mHasRunsToResolve) {
     return;
   }
-  aView.mTendRuns = false;
+  aView.mHasRunsToResolve = false;
   for (auto& [run, view] : aView.mRuns) {
-    const bool inDoubt = view.mUnsureSince && !view.mSeen;
-    const bool toStop = view.mStopWanted && !view.mStoppedAt;
-    aView.mTendRuns = aView.mTendRuns || inDoubt || toStop;
-    if (view.mUnsureSince && !view.mSeen &&
-        aNow >= *view.mUnsureSince + mOptions.mTakeBack) {
-      view.mStopWanted = true;
+    const bool inDoubt = view.mStartUnansweredSince && !view.mSeenInPoll;
+    const bool toStop = view.mStopRequested && !view.mStoppedAt;
+    aView.mHasRunsToResolve = aView.mHasRunsToResolve || inDoubt || toStop;
+    if (view.mStartUnansweredSince && !view.mSeenInPoll &&
+        aNow >= *view.mStartUnansweredSince + mOptions.mStartTimeout) {
+      view.mStopRequested = true;
     }
-    if (view.mStopWanted && !view.mStopUnderWay && !view.mStoppedAt &&
-        aNow >= view.mStopAgainAt) {
-      view.mStopUnderWay = true;
+    if (view.mStopRequested && !view.mStopInFlight && !view.mStoppedAt &&
+        aNow >= view.mStopRetryAt) {
+      view.mStopInFlight = true;
       Send(aWorker, stop_order{ run }, false, aNow);
     }
   }
@@ -377,15 +380,16 @@
 // Its look waits there, and nothing else is due: so it is with nearly all
 // workers at nearly all ticks.
 bool
-worker_keeper::IsQuiet(const worker_view& aView, time_point aNow) const
+worker_supervisor::IsQuiet(const worker_view& aView, time_point aNow) const
 {
-  return aView.mLook != 0 && aView.mSynced && aView.mFailures == 0 &&
-         !aView.mProbe && !aView.mTendRuns && !aView.mRuns.empty() &&
-         aNow < aView.mHeardAt + mOptions.mGoneWorker;
+  return aView.mLongPoll != 0 && aView.mSynced && aView.mFailedPolls == 0 &&
+         !aView.mShortPollRequested && !aView.mHasRunsToResolve &&
+         !aView.mRuns.empty() &&
+         aNow < aView.mLastContactAt + mOptions.mWorkerRemovalDelay;
 }
 
 void
-worker_keeper::NoteTick(time_point aNow)
+worker_supervisor::NoteTick(time_point aNow)
 {
   if (aNow - mTickedAt >= kLateTick) {
     mLateAt = aNow;
@@ -394,21 +398,24 @@
 }
 
 bool
-worker_keeper::IsOurDelay(const worker_view& aView) const
+worker_supervisor::IsOurDelay(const worker_view& aView) const
 {
-  return mLateAt > aView.mFailedLookAt && aView.mHeardAt > aView.mFailedLookAt;
+  return mLateAt > aView.mFailedPollSentAt &&
+         aView.mLastContactAt > aView.mFailedPollSentAt;
 }
 
 bool
-worker_keeper::IsUnreachable(const worker_view& aView, time_point aNow) const
+worker_supervisor::IsUnreachable(const worker_view& aView,
+                                 time_point aNow) const
 {
   const bool wasLate = mLateAt > aView.mFailingSince;
-  const bool isSilent = aNow >= aView.mHeardAt + mOptions.mQuietWorker;
-  return aView.mFailures > 0 && (!wasLate || isSilent);
+  const bool isSilent =
+    aNow >= aView.mLastContactAt + mOptions.mHeartbeatTimeout;
+  return aView.mFailedPolls > 0 && (!wasLate || isSilent);
 }
 
 void
-worker_keeper::Tick(time_point aNow)
+worker_supervisor::Tick(time_point aNow)
 {
   NoteTick(aNow);
   for (auto& [number, view] : mViews) {
@@ -421,63 +428,64 @@
     TickRuns(number, view, aNow);
     DropLapsed(number, view, aNow);
     TickLooks(number, view, aNow);
-    if (view.mRuns.empty() && aNow >= view.mLapsesAt &&
-        aNow >= view.mHeardAt + mOptions.mGoneWorker) {
+    if (view.mRuns.empty() && aNow >= view.mLeasesExpireAt &&
+        aNow >= view.mLastContactAt + mOptions.mWorkerRemovalDelay) {
       mCommands.emplace_back(remove_worker{ number });
-      view.mHeardAt = aNow; // once in a while, until it is applied
+      view.mLastContactAt = aNow; // once in a while, until it is applied
     }
   }
 }
 
 bool
-worker_keeper::IsUsable(worker_number aWorker, time_point aNow) const
+worker_supervisor::IsUsable(worker_number aWorker, time_point aNow) const
 {
   const auto found = mViews.find(aWorker);
   if (found == mViews.end()) {
     return false;
   }
   const worker_view& view = found->second;
-  return view.mSynced && view.mHasClock && view.mFailures == 0 &&
-         !view.mOutlived && !view.mIsChanging && aNow >= view.mUnhealthyUntil &&
-         aNow < view.mHeardAt + mOptions.mQuietWorker &&
-         aNow < view.mBeatAt + mOptions.mKnownRoom;
+  return view.mSynced && view.mHasClock && view.mFailedPolls == 0 &&
+         !view.mHasNewerIncarnation && !view.mHasUncommittedUpdate &&
+         aNow >= view.mUnhealthyUntil &&
+         aNow < view.mLastContactAt + mOptions.mHeartbeatTimeout &&
+         aNow < view.mHeartbeatAt + mOptions.mMaxCapacityAge;
 }
 
 void
-worker_keeper::Changes(worker_number aWorker)
+worker_supervisor::OnUpdateProposed(worker_number aWorker)
 {
   if (const auto found = mViews.find(aWorker); found != mViews.end()) {
-    found->second.mIsChanging = true;
+    found->second.mHasUncommittedUpdate = true;
   }
 }
 
 std::int64_t
-worker_keeper::NewestBeat(worker_number aWorker) const
+worker_supervisor::LatestHeartbeatNumber(worker_number aWorker) const
 {
   const auto found = mViews.find(aWorker);
-  return found == mViews.end() ? -1 : found->second.mBeat;
+  return found == mViews.end() ? -1 : found->second.mHeartbeatNumber;
 }
 
 std::vector<worker_order>
-worker_keeper::TakeOrders()
+worker_supervisor::TakeOrders()
 {
   return std::exchange(mOrders, {});
 }
 
 std::vector<command_body>
-worker_keeper::TakeCommands()
+worker_supervisor::TakeCommands()
 {
   return std::exchange(mCommands, {});
 }
 
 std::vector<decision>
-worker_keeper::TakeNotes()
+worker_supervisor::TakeDecisions()
 {
   return std::exchange(mNotes, {});
 }
 
 std::vector<run_start>
-worker_keeper::TakeTicketsRefused()
+worker_supervisor::TakeTicketRefusals()
 {
   return std::exchange(mTicketsRefused, {});
 }
--- a/oriolewalk/flow/worker_supervisor.h
+++ b/oriolewalk/flow/worker_supervisor.h
@@ -58,12 +58,12 @@
     // When the start was answered as done; a look sent later must show it.
     std::optional<time_point> mStartedAt;
     // Given when the start got no answer.
-    std::optional<time_point> mUnsureSince;
-    bool mInherited = false; // an earlier leader may have sent the start
-    bool mSeen = false;      // in a look
-    bool mStopWanted = false;
-    bool mStopUnderWay = false;
-    time_point mStopAgainAt{};
+    std::optional<time_point> mStartUnansweredSince;
+    bool mInherited = false;  // an earlier leader may have sent the start
+    bool mSeenInPoll = false; // in a look
+    bool mStopRequested = false;
+    bool mStopInFlight = false;
+    time_point mStopRetryAt{};
     std::optional<time_point> mStoppedAt; // the stop was answered
     int mPercent = 100;
     std::int64_t mLoad = 0;
@@ -74,98 +74,102 @@
   bool mHasClock = false;
   std::int64_t mClockMs = 0;
   time_point mClockAt{};
-  time_point mLapsesAt{};  // by then every lease there is over
-  std::uint64_t mLook = 0; // the look that waits there for an end
-  time_point mNextLook{};
-  bool mProbe = false; // a look that doesn't wait is wanted
-  std::uint64_t mQuickLook = 0;
-  time_point mNextDrop{};
-  int mFailures = 0;          // looks without an answer, in a row
-  time_point mFailedLookAt{}; // when the last of them was sent
-  time_point mFailingSince{}; // when the first of them was sent
-  time_point mHeardAt{};
+  time_point mLeasesExpireAt{}; // by then every lease there is over
+  std::uint64_t mLongPoll = 0;  // the look that waits there for an end
+  time_point mNextPollAt{};
+  bool mShortPollRequested = false; // a look that doesn't wait is wanted
+  std::uint64_t mShortPoll = 0;
+  time_point mNextExpiryCheckAt{};
+  int mFailedPolls = 0;           // looks without an answer, in a row
+  time_point mFailedPollSentAt{}; // when the last of them was sent
+  time_point mFailingSince{};     // when the first of them was sent
+  time_point mLastContactAt{};
   time_point mUnhealthyUntil{};
-  std::int64_t mBeat = -1; // the newest heartbeat's number
+  std::int64_t mHeartbeatNumber = -1; // the newest heartbeat's number
   // When a heartbeat was heard last; of an earlier leader's, at the latest.
-  time_point mBeatAt{};
-  bool mIsChanging = false; // it said something new, which isn't committed yet
-  bool mEndsUnderWay = false;
+  time_point mHeartbeatAt{};
+  bool mHasUncommittedUpdate =
+    false; // it said something new, which isn't committed yet
+  bool mHasUncommittedEnds = false;
   // Its last look listed ends, so that the next one names the cursor. Named
   // again and again, it would make a process that has started since, unheard,
   // forget ends of its own.
-  bool mTellCursor = false;
+  bool mShouldSendCursor = false;
   // A look was answered by a later life, whose heartbeat is still to come.
-  bool mOutlived = false;
+  bool mHasNewerIncarnation = false;
   // A run is to be stopped, or its start is in doubt. Else nothing is due for
   // any run by time alone: a leader of 1,100 workers would look at 6,000 runs a
   // hundred times a second.
-  bool mTendRuns = false;
+  bool mHasRunsToResolve = false;
   std::map<run_ref, run_view> mRuns;
   // Of the runs that were given up as lapsed: for how long they went on at
   // least.
-  std::map<run_ref, duration> mLost;
-  bool mOverNoted = false; // that its life is over; every late answer says so
+  std::map<run_ref, duration> mLostRunAges;
+  bool mEndLogged = false; // that its life is over; every late answer says so
 };
 
-class worker_keeper
+class worker_supervisor
 {
 public:
   // aLedUntil: when an earlier leader was last heard of, which may have heard
   // the workers; min(): not known.
-  worker_keeper(const flow_state& aState,
-                flow_options aOptions,
-                std::uint64_t aTerm,
-                time_point aNow,
-                time_point aLedUntil);
+  worker_supervisor(const flow_state& aState,
+                    flow_options aOptions,
+                    std::uint64_t aTerm,
+                    time_point aNow,
+                    time_point aLedUntil);
 
   // A worker's heartbeat of a known life.
-  void Heard(worker_number aWorker,
-             std::int64_t aBeat,
-             std::int64_t aClockMs,
-             time_point aNow);
+  void OnHeartbeat(worker_number aWorker,
+                   std::int64_t aBeat,
+                   std::int64_t aClockMs,
+                   time_point aNow);
   // What the heartbeat says is proposed: nothing is planned there by what was
   // known before.
-  void Changes(worker_number aWorker);
+  void OnUpdateProposed(worker_number aWorker);
   // The number of its newest heartbeat in this term; -1: none was heard.
-  [[nodiscard]] std::int64_t NewestBeat(worker_number aWorker) const;
+  [[nodiscard]] std::int64_t LatestHeartbeatNumber(worker_number aWorker) const;
   // The worker is in the state (anew or changed).
-  void Registered(worker_number aWorker, time_point aNow);
-  void Removed(worker_number aWorker);
+  void OnRegistered(worker_number aWorker, time_point aNow);
+  void OnRemoved(worker_number aWorker);
   // The starts were committed in this term: tell the workers. aTickets, by
   // worker, where the queue asks for them.
-  void Begin(const run_start& aStart, std::string aTicket, time_point aNow);
+  void OnStartCommitted(const run_start& aStart,
+                        std::string aTicket,
+                        time_point aNow);
   // The ends of a look were committed.
-  void EndsApplied(worker_number aWorker, time_point aNow);
+  void OnEndsApplied(worker_number aWorker, time_point aNow);
   // Proposes to keep how far its runs had come; before they are given up.
-  void KeepCheckpoints(worker_number aWorker);
+  void SaveCheckpoints(worker_number aWorker);
   // A later life has taken the worker's place. Proposes to count a crash of
   // what ran there, unless the worker drained; notes how that is known.
-  void LifeIsOver(worker_number aWorker,
-                  std::string_view aKnownBy,
-                  time_point aNow);
+  void OnIncarnationEnded(worker_number aWorker,
+                          std::string_view aKnownBy,
+                          time_point aNow);
   // Runs there were given up.
-  void RunsDropped(worker_number aWorker);
-  void Answered(std::uint64_t aOrder,
+  void OnRunsDropped(worker_number aWorker);
+  void OnAnswer(std::uint64_t aOrder,
                 const order_answer& aAnswer,
                 time_point aNow);
   void Tick(time_point aNow);
   // Wishes a run's end (its job ended, its gang is broken, it must move).
-  void WantStop(worker_number aWorker, const run_ref& aRun, time_point aNow);
-  void Pace(worker_number aWorker,
-            const run_ref& aRun,
-            int aPercent,
-            time_point aNow);
+  void RequestStop(worker_number aWorker, const run_ref& aRun, time_point aNow);
+  void SetPace(worker_number aWorker,
+               const run_ref& aRun,
+               int aPercent,
+               time_point aNow);
 
   std::vector<worker_order> TakeOrders();
   std::vector<command_body> TakeCommands();
   // What it concluded since the last call, for the log.
-  std::vector<decision> TakeNotes();
+  std::vector<decision> TakeDecisions();
   // Starts that a worker refused for its ticket, since the last call.
-  std::vector<run_start> TakeTicketsRefused();
+  std::vector<run_start> TakeTicketRefusals();
 
   // Whether the run has just started, as far as is known: it may be about to
   // crash its worker.
-  [[nodiscard]] bool IsFresh(worker_number aWorker, const run_ref& aRun) const;
+  [[nodiscard]] bool IsNewlyStarted(worker_number aWorker,
+                                    const run_ref& aRun) const;
   // Whether new work may go there now.
   [[nodiscard]] bool IsUsable(worker_number aWorker, time_point aNow) const;
   [[nodiscard]] const std::map<worker_number, worker_view>& Views() const
--- a/oriolewalk/flow/worker_supervisor_answers.cc
+++ b/oriolewalk/flow/worker_supervisor_answers.cc
@@ -20,9 +20,9 @@
 } // namespace
 
 void
-worker_keeper::Answered(std::uint64_t aOrder,
-                        const order_answer& aAnswer,
-                        time_point aNow)
+worker_supervisor::OnAnswer(std::uint64_t aOrder,
+                            const order_answer& aAnswer,
+                            time_point aNow)
 {
   auto open = mOpen.extract(aOrder);
   if (open.empty()) {
@@ -51,8 +51,8 @@
         StartAnswered(order.mWorker, view, aStart, answer, aNow);
       },
       [&](const stop_order& aStop) { StopAnswered(view, aStop, answer, aNow); },
-      [&](const hold_order&) {
-        (aOrder == view.mQuickLook ? view.mQuickLook : view.mLook) = 0;
+      [&](const poll_order&) {
+        (aOrder == view.mShortPoll ? view.mShortPoll : view.mLongPoll) = 0;
         LookAnswered(order.mWorker, view, order.mSentAt, answer, aNow);
       },
       [](const pace_order&) {},
@@ -61,57 +61,59 @@
 }
 
 bool
-worker_keeper::IsOfOtherLife(worker_number aWorker,
-                             const order_answer& aAnswer) const
+worker_supervisor::IsOfOtherLife(worker_number aWorker,
+                                 const order_answer& aAnswer) const
 {
-  const std::int64_t born = mState.FindWorker(aWorker)->mFacts.mBornMs;
-  return aAnswer.mBornMs != 0 && born != 0 && aAnswer.mBornMs != born;
+  const std::int64_t born =
+    mState.FindWorker(aWorker)->mDescription.mProcessStartMs;
+  return aAnswer.mProcessStartMs != 0 && born != 0 &&
+         aAnswer.mProcessStartMs != born;
 }
 
 void
-worker_keeper::NoteOutlived(worker_number aWorker,
-                            worker_view& aView,
-                            const order_answer& aAnswer)
+worker_supervisor::NoteOutlived(worker_number aWorker,
+                                worker_view& aView,
+                                const order_answer& aAnswer)
 {
-  if (std::exchange(aView.mOutlived, true)) {
+  if (std::exchange(aView.mHasNewerIncarnation, true)) {
     return;
   }
-  const worker_facts& facts = mState.FindWorker(aWorker)->mFacts;
+  const worker_description& facts = mState.FindWorker(aWorker)->mDescription;
   mNotes.push_back({ "worker.outlived",
                      { { "worker", facts.mId.Value() },
-                       { "born", std::to_string(aAnswer.mBornMs) },
-                       { "known_born", std::to_string(facts.mBornMs) },
+                       { "born", std::to_string(aAnswer.mProcessStartMs) },
+                       { "known_born", std::to_string(facts.mProcessStartMs) },
                        { "runs", std::to_string(aView.mRuns.size()) } } });
 }
 
 void
-worker_keeper::NoteAnswer(const open_order& aOrder,
-                          worker_view& aView,
-                          const order_answer& aAnswer,
-                          time_point aNow)
+worker_supervisor::NoteAnswer(const open_order& aOrder,
+                              worker_view& aView,
+                              const order_answer& aAnswer,
+                              time_point aNow)
 {
   switch (aAnswer.mResult) {
-    case order_result::OtherLife:
-      KeepCheckpoints(aOrder.mWorker);
-      LifeIsOver(aOrder.mWorker, "later life", aNow);
+    case order_result::OtherIncarnation:
+      SaveCheckpoints(aOrder.mWorker);
+      OnIncarnationEnded(aOrder.mWorker, "later life", aNow);
       mCommands.emplace_back(remove_worker{ aOrder.mWorker });
       return;
     case order_result::NoAnswer:
     case order_result::NotSent:
       // A single order may be lost; a look without an answer says that the
       // worker can't be reached.
-      if (std::holds_alternative<hold_order>(aOrder.mBody)) {
-        aView.mFailedLookAt = aOrder.mSentAt;
-        if (aView.mFailures == 0) {
+      if (std::holds_alternative<poll_order>(aOrder.mBody)) {
+        aView.mFailedPollSentAt = aOrder.mSentAt;
+        if (aView.mFailedPolls == 0) {
           aView.mFailingSince = aOrder.mSentAt;
         }
-        aView.mFailures = IsOurDelay(aView) ? 0 : aView.mFailures + 1;
-        aView.mTellCursor = false; // it may be another process by now
+        aView.mFailedPolls = IsOurDelay(aView) ? 0 : aView.mFailedPolls + 1;
+        aView.mShouldSendCursor = false; // it may be another process by now
       }
       return;
     default:
-      aView.mFailures = 0;
-      aView.mHeardAt = aNow;
+      aView.mFailedPolls = 0;
+      aView.mLastContactAt = aNow;
       if (aAnswer.mClockMs) {
         NoteClock(aView, *aAnswer.mClockMs, aNow);
       }
@@ -119,11 +121,11 @@
 }
 
 void
-worker_keeper::StartAnswered(worker_number aWorker,
-                             worker_view& aView,
-                             const start_order& aOrder,
-                             const order_answer& aAnswer,
-                             time_point aNow)
+worker_supervisor::StartAnswered(worker_number aWorker,
+                                 worker_view& aView,
+                                 const start_order& aOrder,
+                                 const order_answer& aAnswer,
+                                 time_point aNow)
 {
   const auto run = aView.mRuns.find(aOrder.mRun);
   if (run == aView.mRuns.end()) {
@@ -135,11 +137,11 @@
       run->second.mStartedAt = aNow;
       return;
     case order_result::NoAnswer:
-      run->second.mUnsureSince = aNow;
-      aView.mTendRuns = true;
+      run->second.mStartUnansweredSince = aNow;
+      aView.mHasRunsToResolve = true;
       return;
     case order_result::Superseded:
-    case order_result::OtherLife:
+    case order_result::OtherIncarnation:
       return; // another leader's, or a life that is over
     case order_result::TicketInvalid:
       mTicketsRefused.push_back({ aOrder.mRun, aWorker });
@@ -149,13 +151,13 @@
       aView.mUnhealthyUntil = aNow + kUnhealthyPause;
       why = "unhealthy";
       break;
-    case order_result::Outlived:
+    case order_result::StaleAttempt:
       why = "outlived";
       break;
-    case order_result::Late:
+    case order_result::LeaseExpired:
       why = "late";
       break;
-    case order_result::NoRoom:
+    case order_result::NoCapacity:
       why = "room";
       break;
     case order_result::NotSent:
@@ -168,54 +170,54 @@
 }
 
 void
-worker_keeper::StopAnswered(worker_view& aView,
-                            const stop_order& aOrder,
-                            const order_answer& aAnswer,
-                            time_point aNow)
+worker_supervisor::StopAnswered(worker_view& aView,
+                                const stop_order& aOrder,
+                                const order_answer& aAnswer,
+                                time_point aNow)
 {
   const auto run = aView.mRuns.find(aOrder.mRun);
   if (run == aView.mRuns.end()) {
     return;
   }
-  run->second.mStopUnderWay = false;
+  run->second.mStopInFlight = false;
   if (aAnswer.mResult == order_result::Done) {
     run->second.mStoppedAt = aNow;
-    aView.mProbe = true;
+    aView.mShortPollRequested = true;
   } else {
-    run->second.mStopAgainAt = aNow + mOptions.mStopAgain;
+    run->second.mStopRetryAt = aNow + mOptions.mStopRetryDelay;
   }
 }
 
 void
-worker_keeper::LookAnswered(worker_number aWorker,
-                            worker_view& aView,
-                            time_point aSentAt,
-                            const order_answer& aAnswer,
-                            time_point aNow)
+worker_supervisor::LookAnswered(worker_number aWorker,
+                                worker_view& aView,
+                                time_point aSentAt,
+                                const order_answer& aAnswer,
+                                time_point aNow)
 {
   if (aAnswer.mResult != order_result::Done) {
-    aView.mNextLook = aNow + mOptions.mLookAgain;
+    aView.mNextPollAt = aNow + mOptions.mPollRetryDelay;
     return;
   }
-  aView.mNextLook = aNow;
+  aView.mNextPollAt = aNow;
   aView.mSynced = true;
   NoteReturn(aWorker, aView);
   TakeRunning(aWorker, aView, aAnswer, aNow);
   DropAbsent(aWorker, aView, aSentAt, aAnswer);
-  aView.mTellCursor = !aAnswer.mEnded.empty();
-  aView.mEndsUnderWay = TakeEnds(aWorker, aView, aAnswer);
+  aView.mShouldSendCursor = !aAnswer.mEnded.empty();
+  aView.mHasUncommittedEnds = TakeEnds(aWorker, aView, aAnswer);
 }
 
 void
-worker_keeper::TakeRunning(worker_number aWorker,
-                           worker_view& aView,
-                           const order_answer& aAnswer,
-                           time_point aNow)
+worker_supervisor::TakeRunning(worker_number aWorker,
+                               worker_view& aView,
+                               const order_answer& aAnswer,
+                               time_point aNow)
 {
   for (const listed_run& listed : aAnswer.mRunning) {
     const auto run = aView.mRuns.find(listed.mRun);
     if (run != aView.mRuns.end()) {
-      run->second.mSeen = true;
+      run->second.mSeenInPoll = true;
       run->second.mStartedAt = run->second.mStartedAt.value_or(aNow);
       run->second.mCheckpoint = listed.mCheckpoint;
       run->second.mPercent = listed.mPercent;
@@ -229,9 +231,9 @@
 }
 
 bool
-worker_keeper::TakeEnds(worker_number aWorker,
-                        worker_view& /*aView*/,
-                        const order_answer& aAnswer)
+worker_supervisor::TakeEnds(worker_number aWorker,
+                            worker_view& /*aView*/,
+                            const order_answer& aAnswer)
 {
   const worker_record* record = mState.FindWorker(aWorker);
   end_runs ends{ aWorker, {}, record->mCursor };
@@ -251,10 +253,10 @@
 }
 
 void
-worker_keeper::DropAbsent(worker_number aWorker,
-                          worker_view& aView,
-                          time_point aSentAt,
-                          const order_answer& aAnswer)
+worker_supervisor::DropAbsent(worker_number aWorker,
+                              worker_view& aView,
+                              time_point aSentAt,
+                              const order_answer& aAnswer)
 {
   if (aAnswer.mEnded.size() >= kMostListedEnds) {
     return; // the rest comes with the next look
@@ -283,18 +285,18 @@
 }
 
 void
-worker_keeper::GiveUp(worker_number aWorker,
-                      std::vector<run_ref> aRuns,
-                      std::string_view aWhy)
+worker_supervisor::GiveUp(worker_number aWorker,
+                          std::vector<run_ref> aRuns,
+                          std::string_view aWhy)
 {
   NoteGivenUp(aWorker, aRuns, aWhy);
   mCommands.emplace_back(drop_runs{ aWorker, std::move(aRuns) });
 }
 
 void
-worker_keeper::NoteGivenUp(worker_number aWorker,
-                           const std::vector<run_ref>& aRuns,
-                           std::string_view aWhy)
+worker_supervisor::NoteGivenUp(worker_number aWorker,
+                               const std::vector<run_ref>& aRuns,
+                               std::string_view aWhy)
 {
   for (const run_ref& run : aRuns) {
     mNotes.push_back(
@@ -303,7 +305,7 @@
           { "step", std::to_string(run.mTask.mStep) },
           { "task", std::to_string(run.mTask.mIndex) },
           { "attempt", std::to_string(run.mAttempt) },
-          { "worker", mState.FindWorker(aWorker)->mFacts.mId.Value() },
+          { "worker", mState.FindWorker(aWorker)->mDescription.mId.Value() },
           { "why", std::string(aWhy) } } });
   }
 }
@@ -311,8 +313,8 @@
 // Its number says that it is in the state already, and the state waits for it:
 // one of the two is wrong.
 void
-worker_keeper::NotePassedOver(const worker_record& aRecord,
-                              const listed_end& aListed)
+worker_supervisor::NotePassedOver(const worker_record& aRecord,
+                                  const listed_end& aListed)
 {
   const run_ref& run = aListed.mEnd.mRun;
   mNotes.push_back({ "end.passed_over",
@@ -321,7 +323,7 @@
                        { "task", std::to_string(run.mTask.mIndex) },
                        { "attempt", std::to_string(run.mAttempt) },
                        { "how", std::string(ToString(aListed.mEnd.mOutcome)) },
-                       { "worker", aRecord.mFacts.mId.Value() },
+                       { "worker", aRecord.mDescription.mId.Value() },
                        { "number", std::to_string(aListed.mNumber) },
                        { "cursor", std::to_string(aRecord.mCursor) } } });
 }
--- a/oriolewalk/flow/worker_supervisor_losses.cc
+++ b/oriolewalk/flow/worker_supervisor_losses.cc
@@ -36,17 +36,18 @@
 } // namespace
 
 std::optional<duration>
-worker_keeper::RanFor(const worker_view& aView,
-                      const worker_view::run_view& aRun)
+worker_supervisor::RanFor(const worker_view& aView,
+                          const worker_view::run_view& aRun)
 {
   if (aRun.mInherited || !aRun.mStartedAt) {
     return std::nullopt;
   }
-  return std::max(aView.mHeardAt - *aRun.mStartedAt, duration::zero());
+  return std::max(aView.mLastContactAt - *aRun.mStartedAt, duration::zero());
 }
 
 bool
-worker_keeper::IsFresh(worker_number aWorker, const run_ref& aRun) const
+worker_supervisor::IsNewlyStarted(worker_number aWorker,
+                                  const run_ref& aRun) const
 {
   const auto found = mViews.find(aWorker);
   if (found == mViews.end()) {
@@ -60,44 +61,44 @@
 }
 
 bool
-worker_keeper::IsProven(const worker_view& aView, const run_ref& aRun) const
+worker_supervisor::IsProven(const worker_view& aView, const run_ref& aRun) const
 {
   const step_spec* step = mState.FindStep(aRun.mTask);
   const auto run = aView.mRuns.find(aRun);
-  return step != nullptr && step->mLasting && run != aView.mRuns.end() &&
+  return step != nullptr && step->mLongRunning && run != aView.mRuns.end() &&
          RanFor(aView, run->second).value_or(duration::zero()) >= kProven;
 }
 
 void
-worker_keeper::LoseRuns(worker_number aWorker, worker_view& aView)
+worker_supervisor::LoseRuns(worker_number aWorker, worker_view& aView)
 {
-  const std::set<run_ref>& placed = mState.PlacedAt(aWorker);
+  const std::set<run_ref>& placed = mState.RunsAt(aWorker);
   for (const run_ref& run : placed) {
     const auto seen = aView.mRuns.find(run);
     const auto ran =
       seen == aView.mRuns.end() ? std::nullopt : RanFor(aView, seen->second);
     if (ran) {
-      aView.mLost[run] = *ran;
+      aView.mLostRunAges[run] = *ran;
     }
   }
   std::vector<run_ref> runs(placed.begin(), placed.end());
   NoteGivenUp(aWorker, runs, "lapsed");
-  mCommands.emplace_back(lose_runs{ aWorker, std::move(runs) });
+  mCommands.emplace_back(mark_runs_lost{ aWorker, std::move(runs) });
 }
 
 void
-worker_keeper::NoteReturn(worker_number aWorker, worker_view& aView)
+worker_supervisor::NoteReturn(worker_number aWorker, worker_view& aView)
 {
-  if (mState.Crashes().HasLost(aWorker)) {
-    aView.mLost.clear();
-    mCommands.emplace_back(note_return{ aWorker });
+  if (mState.Crashes().HasLostRuns(aWorker)) {
+    aView.mLostRunAges.clear();
+    mCommands.emplace_back(record_worker_return{ aWorker });
   }
 }
 
 void
-worker_keeper::LifeIsOver(worker_number aWorker,
-                          std::string_view aKnownBy,
-                          time_point aNow)
+worker_supervisor::OnIncarnationEnded(worker_number aWorker,
+                                      std::string_view aKnownBy,
+                                      time_point aNow)
 {
   const auto found = mViews.find(aWorker);
   const worker_record* record = mState.FindWorker(aWorker);
@@ -105,20 +106,20 @@
     return;
   }
   worker_view& view = found->second;
-  if (!std::exchange(view.mOverNoted, true)) {
+  if (!std::exchange(view.mEndLogged, true)) {
     NoteOver(aWorker, view, aKnownBy, aNow);
   }
   if (record->mDraining) {
     return; // it left, and its farewell was lost
   }
-  std::map<run_ref, duration> ages = view.mLost;
-  note_crash crash{ aWorker, {}, {} };
+  std::map<run_ref, duration> ages = view.mLostRunAges;
+  record_worker_crash crash{ aWorker, {}, {} };
   for (const auto& [run, seen] : view.mRuns) {
     if (const std::optional<duration> ran = RanFor(view, seen)) {
       ages[run] = *ran;
     }
     if (IsProven(view, run)) {
-      crash.mProven.push_back(run);
+      crash.mCleared.push_back(run);
     }
   }
   crash.mSuspects = JustBegun(ages);
@@ -126,20 +127,20 @@
 }
 
 void
-worker_keeper::NoteOver(worker_number aWorker,
-                        const worker_view& aView,
-                        std::string_view aKnownBy,
-                        time_point aNow)
+worker_supervisor::NoteOver(worker_number aWorker,
+                            const worker_view& aView,
+                            std::string_view aKnownBy,
+                            time_point aNow)
 {
   const worker_record& record = *mState.FindWorker(aWorker);
-  const std::string& id = record.mFacts.mId.Value();
+  const std::string& id = record.mDescription.mId.Value();
   mNotes.push_back(
     { "worker.over",
       { { "worker", id },
-        { "address", record.mFacts.mAddress },
+        { "address", record.mDescription.mAddress },
         { "known_by", std::string(aKnownBy) },
         { "draining", record.mDraining ? "yes" : "no" },
-        { "silent_ms", std::to_string(ToMs(aNow - aView.mHeardAt)) },
+        { "silent_ms", std::to_string(ToMs(aNow - aView.mLastContactAt)) },
         { "runs", std::to_string(aView.mRuns.size()) } } });
   for (const auto& [run, seen] : aView.mRuns) {
     const std::optional<duration> ran = RanFor(aView, seen);
--- a/oriolewalk/host/caller_limits.cc
+++ b/oriolewalk/host/caller_limits.cc
@@ -30,7 +30,7 @@
 } // namespace
 
 http::server_limits
-CallerLimits(const flow::front_limits& aLimits)
+CallerLimits(const flow::entry_limits& aLimits)
 {
   http::server_limits limits;
   Take(aLimits.mHeaderBytes, limits.mMaxHeaderBytes);
--- a/oriolewalk/host/caller_limits.h
+++ b/oriolewalk/host/caller_limits.h
@@ -19,7 +19,7 @@
 // Where the table gives no limit, or one that makes no sense, the server's own
 // holds.
 http::server_limits
-CallerLimits(const flow::front_limits& aLimits);
+CallerLimits(const flow::entry_limits& aLimits);
 
 // When the call's final answer must be under way. aPatience: what its caller
 // waits. aCloses: when a process that stops closes what is still open. Without
--- a/oriolewalk/host/control_calls.cc
+++ b/oriolewalk/host/control_calls.cc
@@ -123,7 +123,7 @@
   }
   const flow::call_number call = ++mLastCall;
   mCalls.emplace(call, std::move(aDone));
-  mCore->Ask(call, aRequest, Now());
+  mCore->HandleRequest(call, aRequest, Now());
   SchedulePump();
 }
 
@@ -136,12 +136,12 @@
 }
 
 void
-control_host::Ask(const flow::worker_beat& aBeat,
+control_host::Ask(const flow::worker_heartbeat& aBeat,
                   time_point aUntil,
                   flow_callback aDone)
 {
-  if (mBeats.Take(aBeat, runtime_clock::now())) {
-    aDone(flow::flow_answer(flow::acknowledged{ true }));
+  if (mBeats.TryAccept(aBeat, runtime_clock::now())) {
+    aDone(flow::flow_answer(flow::acknowledgement{ true }));
     return;
   }
   mLink.Ask(
@@ -149,9 +149,9 @@
     aUntil,
     [this, aBeat, done = std::move(aDone)](result<flow::flow_answer> aAnswer) {
       const auto* known =
-        aAnswer ? std::get_if<flow::acknowledged>(&*aAnswer) : nullptr;
-      if (known != nullptr && known->mTakesSummaries) {
-        mBeats.Acknowledged(aBeat, runtime_clock::now());
+        aAnswer ? std::get_if<flow::acknowledgement>(&*aAnswer) : nullptr;
+      if (known != nullptr && known->mAcceptsSummaries) {
+        mBeats.OnAcknowledged(aBeat, runtime_clock::now());
       }
       done(std::move(aAnswer));
     });
@@ -172,9 +172,9 @@
                 aAnswer ? std::get_if<flow::unknown_workers>(&*aAnswer)
                         : nullptr;
               if (unknown == nullptr) {
-                mBeats.SummaryFailed();
+                mBeats.OnSummaryFailed();
               } else {
-                mBeats.Summarised(unknown->mIds, runtime_clock::now());
+                mBeats.OnSummaryAccepted(unknown->mIds, runtime_clock::now());
               }
             });
 }
--- a/oriolewalk/host/control_host.cc
+++ b/oriolewalk/host/control_host.cc
@@ -92,7 +92,7 @@
             mOptions.mFlow,
             [this](const std::string& aCarrier) {
               if (mCore) {
-                mCore->CarrierFailed(aCarrier, Now());
+                mCore->OnRelayFailure(aCarrier, Now());
               }
             })
 {
@@ -163,7 +163,7 @@
   config.mAddress = mOptions.mAddress;
   config.mFlow = mOptions.mFlow;
   config.mRaft.mMaxInflight = kAppendsUnderWay;
-  config.mMostVoters = mOptions.mMostVoters;
+  config.mMaxVoters = mOptions.mMostVoters;
   auto core = flow::flow_core::Make(
     config, std::move(*restored), std::random_device{}(), runtime_clock::now());
   if (!core) {
@@ -313,8 +313,8 @@
     return;
   }
   flow::flow_effects out = mCore->TakeEffects(Now());
-  if (out.mBroken) {
-    Broken("state.unreadable", *out.mBroken);
+  if (out.mFatalError) {
+    Broken("state.unreadable", *out.mFatalError);
     return;
   }
   if (Handle(std::move(out))) {
@@ -338,7 +338,7 @@
   if (!batch.IsEmpty()) {
     mStorage->Write(std::move(batch));
   }
-  for (const flow::decision& note : aEffects.mNotes) {
+  for (const flow::decision& note : aEffects.mDecisions) {
     mLog.Write(note.mEvent, note.mFields);
   }
   for (flow::flow_reply& reply : aEffects.mReplies) {
@@ -349,7 +349,7 @@
   for (const flow::worker_order& order : aEffects.mOrders) {
     SendOrder(order);
   }
-  for (const flow::advice_order& order : aEffects.mQuestions) {
+  for (const flow::advice_call& order : aEffects.mAdviceCalls) {
     SendQuestion(order);
   }
   if (raft.mLeadership) {
@@ -377,20 +377,20 @@
     aOrder,
     [this, id = aOrder.mId, life = mLife](const flow::order_answer& aAnswer) {
       if (mCore && life == mLife) {
-        mCore->OrderAnswered(id, aAnswer, Now());
+        mCore->OnOrderAnswer(id, aAnswer, Now());
         SchedulePump();
       }
     });
 }
 
 void
-control_host::SendQuestion(const flow::advice_order& aOrder)
+control_host::SendQuestion(const flow::advice_call& aOrder)
 {
   const std::uint64_t id = aOrder.mId;
   const auto done =
     [this, id, life = mLife](const result<flow::approvals>& aAnswer) {
       if (mCore && life == mLife) {
-        mCore->AdviceAnswered(id, aAnswer, Now());
+        mCore->OnAdviceAnswer(id, aAnswer, Now());
         SchedulePump();
       }
     };
@@ -401,7 +401,7 @@
   mRpc.Call(aOrder.mAdvisor,
             flow::kAdviceCall,
             Encode(aOrder.mRequest),
-            milliseconds(aOrder.mRequest.mBoundMs),
+            milliseconds(aOrder.mRequest.mTimeoutMs),
             [this, done](result<bytes> aReply) {
               result<flow::approvals> answer =
                 aReply ? Decode<flow::approvals>(*aReply, "reading advice")
@@ -440,7 +440,7 @@
 control_host::AskToJoin()
 {
   const time_point now = runtime_clock::now();
-  if (now < mJoinAt || !mCore->WantsToJoin(now)) {
+  if (now < mJoinAt || !mCore->ShouldJoin(now)) {
     return;
   }
   mJoinAt = now + kJoinEvery;
@@ -450,7 +450,8 @@
               // Whether it helped is seen by a leader's voice. A spare keeps
               // the members' addresses, to find the next leader by them.
               const auto* beat =
-                aAnswer ? std::get_if<flow::beat_answer>(&*aAnswer) : nullptr;
+                aAnswer ? std::get_if<flow::entry_heartbeat_answer>(&*aAnswer)
+                        : nullptr;
               if (beat != nullptr) {
                 mLink.Learn(beat->mMembers);
               }
--- a/oriolewalk/host/control_host.h
+++ b/oriolewalk/host/control_host.h
@@ -77,13 +77,13 @@
   void Ask(flow::flow_request aRequest, time_point aUntil, flow_callback aDone);
   // A worker's heartbeat: answered here if it says nothing new to the leader,
   // which is told later.
-  void Ask(const flow::worker_beat& aBeat,
+  void Ask(const flow::worker_heartbeat& aBeat,
            time_point aUntil,
            flow_callback aDone);
   // Whether workers may send their heartbeats here, to whoever leads.
   [[nodiscard]] bool GathersBeats() const
   {
-    return mBeats.IsGathering(runtime_clock::now());
+    return mBeats.IsAggregating(runtime_clock::now());
   }
   // Control processes that the settings name since.
   void Learn(const std::vector<std::string>& aControls)
@@ -111,7 +111,7 @@
   }
   [[nodiscard]] std::size_t LiveJobs() const
   {
-    return mCore ? mCore->State().Live().size() : 0;
+    return mCore ? mCore->State().LiveJobs().size() : 0;
   }
   [[nodiscard]] bool Leads() const { return mCore && mCore->Raft().IsLeader(); }
 
@@ -140,7 +140,7 @@
   bool Handle(flow::flow_effects aEffects);
   void SendToPeer(const consensus::message& aMessage);
   void SendOrder(const flow::worker_order& aOrder);
-  void SendQuestion(const flow::advice_order& aOrder);
+  void SendQuestion(const flow::advice_call& aOrder);
   void ArmTick();
   void AskToJoin();
   void TellBeats();
@@ -174,7 +174,7 @@
   wire::rpc_node mRpc;
   leader_link mLink;
   order_relay mOrders;
-  flow::beat_desk mBeats;
+  flow::heartbeat_aggregator mBeats;
 };
 
 } // namespace oriolewalk::host
--- a/oriolewalk/host/entry_host.cc
+++ b/oriolewalk/host/entry_host.cc
@@ -94,7 +94,7 @@
 void
 entry_host::Beat()
 {
-  mLink.Ask(flow::entry_beat{ mOptions.mAddress },
+  mLink.Ask(flow::entry_heartbeat{ mOptions.mAddress },
             runtime_clock::now() + kBeatEvery,
             [this](const result<flow::flow_answer>& aAnswer) {
               BeatAnswered(aAnswer);
@@ -106,7 +106,7 @@
 entry_host::BeatAnswered(const result<flow::flow_answer>& aAnswer)
 {
   const auto* beat =
-    aAnswer ? std::get_if<flow::beat_answer>(&*aAnswer) : nullptr;
+    aAnswer ? std::get_if<flow::entry_heartbeat_answer>(&*aAnswer) : nullptr;
   if (std::exchange(mInTouch, beat != nullptr) != (beat != nullptr)) {
     mLog.Write(beat != nullptr ? "control.regained" : "control.lost",
                { { "peer", mLink.Current() },
--- a/oriolewalk/host/entry_host.h
+++ b/oriolewalk/host/entry_host.h
@@ -54,7 +54,7 @@
     mLink.Learn(aControls);
   }
   // Called with what the table in force allows callers, at each beat.
-  void OnLimits(std::function<void(const flow::front_limits&)> aLimits)
+  void OnLimits(std::function<void(const flow::entry_limits&)> aLimits)
   {
     mOnLimits = std::move(aLimits);
   }
@@ -79,7 +79,7 @@
   policy_port mPolicy;
   observe::decision_log& mLog;
   runtime_timer mTimer;
-  std::function<void(const flow::front_limits&)> mOnLimits;
+  std::function<void(const flow::entry_limits&)> mOnLimits;
   time_point mHeardAt{};
   bool mConfigured = false;
   bool mInTouch = false;
--- a/oriolewalk/host/order_relay.cc
+++ b/oriolewalk/host/order_relay.cc
@@ -50,22 +50,22 @@
 duration
 order_relay::BoundOf(const flow::worker_order& aOrder) const
 {
-  const auto* hold = std::get_if<flow::hold_order>(&aOrder.mBody);
-  return mOptions.mAnswerBound + kRelayMargin +
+  const auto* hold = std::get_if<flow::poll_order>(&aOrder.mBody);
+  return mOptions.mAnswerMargin + kRelayMargin +
          milliseconds(hold == nullptr ? 0 : hold->mWaitMs);
 }
 
 void
 order_relay::Send(const flow::worker_order& aOrder, order_callback aDone)
 {
-  if (aOrder.mCarrier.empty() || aOrder.mCarrier == mSelf) {
+  if (aOrder.mRelay.empty() || aOrder.mRelay == mSelf) {
     mWorkers(aOrder, std::move(aDone));
     return;
   }
   mOpen.insert_or_assign(
     order_key{ aOrder.mFence, aOrder.mId },
     open_order{ std::move(aDone), runtime_clock::now() + BoundOf(aOrder) });
-  mToHandOver[aOrder.mCarrier].push_back(aOrder);
+  mToHandOver[aOrder.mRelay].push_back(aOrder);
   ArmFlush();
 }
 
--- a/programs/oriole_soak.cc
+++ b/programs/oriole_soak.cc
@@ -350,7 +350,7 @@
   int Report()
   {
     std::vector<std::string> broken = mBook.Broken();
-    std::ranges::copy(mHouse.Oracle().Broken(), std::back_inserter(broken));
+    std::ranges::copy(mHouse.Oracle().Violations(), std::back_inserter(broken));
     std::fprintf(stderr,
                  "seed %llu: %zu jobs sent, %zu done, %zu refused for good, "
                  "%zu starts, %zu promises broken\n",
--- a/testing/flow/crash_tracker_test.cc
+++ b/testing/flow/crash_tracker_test.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-using testing::plan_scene;
+using testing::plan_fixture;
 using testing::state_builder;
 using testing::Step;
 using testing::Worker;
@@ -24,27 +24,29 @@
 const run_ref kRun = state_builder::Run(job_id("00"), 1);
 const run_ref kOther = state_builder::Run(job_id("01"), 1);
 
-note_crash
+record_worker_crash
 Crash(worker_number aWorker, std::vector<run_ref> aSuspects = {})
 {
   return { aWorker, std::move(aSuspects), {} };
 }
 
 // Each time on a worker of its own, which crashes at once.
-struct crash_scene : plan_scene
+struct crash_scene : plan_fixture
 {
-  job_id mJob = mMade.AddJob("00", { Step(2, 1'000) });
+  job_id mJob = mBuilder.AddJob("00", { Step(2, 1'000) });
 
   apply_outcome CrashUnder(std::uint32_t aTask, bool aSuspected)
   {
     const worker_number worker =
-      mMade.AddWorker(Worker("c" + std::to_string(++mCrashes)));
+      mBuilder.AddWorker(Worker("c" + std::to_string(++mCrashes)));
     const run_ref run = state_builder::Run(
-      mJob, mMade.mState.FindTask({ mJob, 0, 0, aTask })->mAttempt + 1, aTask);
-    mMade.Start(run, worker);
-    apply_outcome outcome = mMade.Apply(
+      mJob,
+      mBuilder.mState.FindTask({ mJob, 0, 0, aTask })->mAttempt + 1,
+      aTask);
+    mBuilder.Start(run, worker);
+    apply_outcome outcome = mBuilder.Apply(
       Crash(worker, aSuspected ? std::vector{ run } : std::vector<run_ref>{}));
-    mMade.Apply(remove_worker{ worker });
+    mBuilder.Apply(remove_worker{ worker });
     return outcome;
   }
 
@@ -56,54 +58,54 @@
 TEST_CASE("a crash counts once for a task, whoever tells of it")
 {
   // Guards against a crash that two leaders note one after the other.
-  crash_book book;
-  CHECK(book.Crashed(1, { kRun }, Crash(1, { kRun })).size() == 1);
-  CHECK(book.Crashed(1, { kRun }, Crash(1, { kRun })).empty());
+  crash_tracker book;
+  CHECK(book.OnCrash(1, { kRun }, Crash(1, { kRun })).size() == 1);
+  CHECK(book.OnCrash(1, { kRun }, Crash(1, { kRun })).empty());
   CHECK(book.Find(kRun.mTask)->mCrashes == 1);
-  CHECK(book.Find(kRun.mTask)->mSuspected == 1);
+  CHECK(book.Find(kRun.mTask)->mSuspectedCrashes == 1);
 }
 
 TEST_CASE("a lost run counts when its worker is known to have crashed")
 {
   // Guards against crashes that go unnoticed since the lease lapsed first, and
   // against silence that counts as one.
-  crash_book book;
-  book.Lost(1, std::vector{ kRun });
+  crash_tracker book;
+  book.OnRunsLost(1, std::vector{ kRun });
   CHECK(book.Find(kRun.mTask) == nullptr);
-  CHECK(book.Losses().at(kRun.mTask) == 1);
-  book.Returned(1);
-  CHECK(book.Losses().empty());
-  CHECK(book.Crashed(1, {}, Crash(1)).empty());
-  book.Lost(2, std::vector{ kRun });
-  CHECK(book.Crashed(2, {}, Crash(2)).size() == 1);
+  CHECK(book.UnresolvedLosses().at(kRun.mTask) == 1);
+  book.OnWorkerReturn(1);
+  CHECK(book.UnresolvedLosses().empty());
+  CHECK(book.OnCrash(1, {}, Crash(1)).empty());
+  book.OnRunsLost(2, std::vector{ kRun });
+  CHECK(book.OnCrash(2, {}, Crash(2)).size() == 1);
   CHECK(book.Find(kRun.mTask)->mCrashes == 1);
-  CHECK(book.Losses().empty());
+  CHECK(book.UnresolvedLosses().empty());
 }
 
 TEST_CASE("workers that are never heard of again alone give up no task")
 {
   // Guards against a job that is shown as failed though no worker is known to
   // have crashed under it, and against losses that go with their worker.
-  crash_book book;
+  crash_tracker book;
   for (worker_number worker = 1; worker <= 8; ++worker) {
-    book.Lost(worker, std::vector{ kRun });
-    book.Vanished(worker);
+    book.OnRunsLost(worker, std::vector{ kRun });
+    book.OnWorkerRemoved(worker);
   }
-  CHECK_FALSE(book.IsGivenUp(kRun.mTask));
-  book.Crashed(9, { kRun }, Crash(9));
-  CHECK_FALSE(book.IsGivenUp(kRun.mTask));
-  book.Crashed(10, { kRun }, Crash(10));
-  CHECK(book.IsGivenUp(kRun.mTask));
+  CHECK_FALSE(book.ShouldAbandon(kRun.mTask));
+  book.OnCrash(9, { kRun }, Crash(9));
+  CHECK_FALSE(book.ShouldAbandon(kRun.mTask));
+  book.OnCrash(10, { kRun }, Crash(10));
+  CHECK(book.ShouldAbandon(kRun.mTask));
 }
 
 TEST_CASE("a task that has lasted for long begins its count anew")
 {
   // Guards against services that are given up for crashes of months.
-  crash_book book;
+  crash_tracker book;
   for (worker_number worker = 1; worker <= 2; ++worker) {
-    book.Crashed(worker, { kRun, kOther }, Crash(worker, { kRun, kOther }));
+    book.OnCrash(worker, { kRun, kOther }, Crash(worker, { kRun, kOther }));
   }
-  book.Crashed(3, { kRun, kOther }, { 3, {}, { kRun } });
+  book.OnCrash(3, { kRun, kOther }, { 3, {}, { kRun } });
   CHECK(book.Find(kRun.mTask) == nullptr);
   CHECK(book.Find(kOther.mTask)->mCrashes == 3);
 }
@@ -113,15 +115,15 @@
   // Guards against neighbours that are given up with the task that crashes.
   crash_scene scene;
   for (int crash = 1; crash < 3; ++crash) {
-    CHECK(scene.CrashUnder(0, true).mGivenUp.empty());
+    CHECK(scene.CrashUnder(0, true).mAbandonedTasks.empty());
   }
-  CHECK(scene.CrashUnder(0, true).mGivenUp.size() == 1);
-  CHECK(scene.mMade.mState.FindJob(scene.mJob)->mState == job_state::Failed);
+  CHECK(scene.CrashUnder(0, true).mAbandonedTasks.size() == 1);
+  CHECK(scene.mBuilder.mState.FindJob(scene.mJob)->mState == job_state::Failed);
   crash_scene other;
   for (int crash = 1; crash < 5; ++crash) {
-    CHECK(other.CrashUnder(0, false).mGivenUp.empty());
+    CHECK(other.CrashUnder(0, false).mAbandonedTasks.empty());
   }
-  CHECK(other.CrashUnder(0, false).mGivenUp.size() == 1);
+  CHECK(other.CrashUnder(0, false).mAbandonedTasks.size() == 1);
 }
 
 TEST_CASE("counts of crashes are in the snapshot, and one without is read")
@@ -129,7 +131,7 @@
   // Guards against counts that a restart loses.
   crash_scene scene;
   scene.CrashUnder(0, true);
-  const bytes saved = scene.mMade.mState.Save();
+  const bytes saved = scene.mBuilder.mState.Save();
   flow_state restored;
   REQUIRE(restored.Restore(saved));
   CHECK(restored.Crashes().Records().size() == 1);
@@ -163,14 +165,14 @@
     scene.CrashUnder(task, true);
   }
   for (const char* id : { "w", "ww", "www" }) {
-    scene.mMade.AddWorker(Worker(id));
+    scene.mBuilder.AddWorker(Worker(id));
   }
-  scene.mMade.AddJob("11", { Step(30, 1'000) });
+  scene.mBuilder.AddJob("11", { Step(30, 1'000) });
   const auto plan = [&]() {
     plan_input input = scene.Input();
-    probation watch;
-    input.mSuspicions = watch.Find(
-      scene.mMade.mState,
+    suspect_isolation watch;
+    input.mSuspicions = watch.Summarize(
+      scene.mBuilder.mState,
       scene.mProposed,
       [](worker_number, const run_ref&) { return true; },
       scene.mNow);
@@ -189,7 +191,7 @@
   CHECK(others.size() == 2);
   CHECK_FALSE(others.contains(suspects[0].mWorker));
   // It runs, and nothing says yet that it is sound.
-  scene.mMade.Start(suspects[0].mRun, suspects[0].mWorker);
+  scene.mBuilder.Start(suspects[0].mRun, suspects[0].mWorker);
   for (const planned_start& start : plan().mStarts) {
     CHECK(start.mStart.mWorker != suspects[0].mWorker);
     CHECK(start.mStart.mRun.mTask.mJob != scene.mJob);
--- a/testing/flow/crashing_task_test.cc
+++ b/testing/flow/crashing_task_test.cc
@@ -37,15 +37,15 @@
     for (std::size_t made = 0; made < kWorkers; ++made) {
       fake_worker& worker = mGroup.Worker(
         mGroup.AddWorker(std::string(made + 1, 'w'), made % 2 == 0 ? 0.02 : 0));
-      worker.mSize = Step(1, 1'000).mSize;
+      worker.mTaskSize = Step(1, 1'000).mSize;
     }
-    mGroup.BringWorkersBack(aAway, aUnderTheirIds);
-    mGroup.Oracle().mCrashing = [this](const task_ref& aTask) {
+    mGroup.RestartCrashedWorkers(aAway, aUnderTheirIds);
+    mGroup.Oracle().mCrashesWorker = [this](const task_ref& aTask) {
       return aTask.mJob.Value() == kCrashing &&
              (mAllCrash || aTask.mIndex == 0);
     };
     mGroup.Oracle().mOnStart = [this](const run_ref& aRun) {
-      if (mGroup.Oracle().mCrashing(aRun.mTask)) {
+      if (mGroup.Oracle().mCrashesWorker(aRun.mTask)) {
         ++mStarts[aRun.mTask];
       }
     };
@@ -67,7 +67,7 @@
       CHECK(starts <= kMostStarts);
     }
     CHECK(EndsAs(kInnocent, "done", aWithin));
-    CHECK(mGroup.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
 };
 
@@ -145,7 +145,7 @@
     CAPTURE(seed);
     crashing_scene scene(seed, seconds(3));
     step_spec lasting = Step(1, 1'000);
-    lasting.mLasting = true;
+    lasting.mLongRunning = true;
     scene.mGroup.Submit(kCrashing, { lasting });
     scene.mGroup.Submit(kInnocent, { Step(20, 1'000) });
     scene.CheckGivenUp(seconds(40));
@@ -176,7 +176,7 @@
     CAPTURE(seed);
     crashing_scene scene(seed, seconds(3));
     step_spec lasting = Step(6, 1'000);
-    lasting.mLasting = true;
+    lasting.mLongRunning = true;
     scene.mGroup.Submit(kCrashing, { Step(1, 1'000) });
     scene.mGroup.Submit(kInnocent, { Step(18, 1'000), lasting });
     CHECK(scene.EndsAs(kCrashing, "failed", seconds(40)));
@@ -193,7 +193,7 @@
     CAPTURE(seed);
     crashing_scene scene(seed, seconds(3));
     step_spec lasting = Step(1, 1'000);
-    lasting.mLasting = true;
+    lasting.mLongRunning = true;
     for (std::size_t worker = 0; worker < 6; ++worker) {
       scene.mGroup.Worker(worker).mWorkTime = seconds(60);
     }
@@ -210,7 +210,7 @@
     }
     CHECK(scene.mGroup.StateOf(kInnocent) == "running");
     CHECK(scene.mGroup.Count("task.crashes_workers") == 0);
-    CHECK(scene.mGroup.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
--- a/testing/flow/fake_group.cc
+++ b/testing/flow/fake_group.cc
@@ -38,7 +38,7 @@
   table.mVersion = 1;
   table.mQueues = { testing::Queue("fees", 0) };
   table.mServices = { { service_id("pay"), false, false } };
-  Ask(table_change{ table, "source" });
+  SendRequest(table_change{ table, "source" });
 }
 
 consensus::node_id
@@ -63,14 +63,14 @@
   flow_config config;
   config.mSelf = Id(aNode);
   config.mAddress = "n" + std::to_string(aNode);
-  config.mMostVoters = mMostVoters;
+  config.mMaxVoters = mMostVoters;
   config.mFlow = mOptions;
   consensus::restored_state restored = made.mDisk.Content();
   restored.mMayVote = !made.mFresh;
   if (!made.mFresh) {
     // The same first membership at every founder, whatever came later.
     for (std::size_t founder = 0; founder < mFounders; ++founder) {
-      config.mFounders.PutVoter(
+      config.mInitialMembers.PutVoter(
         { Id(founder), "n" + std::to_string(founder), 0, false, std::nullopt });
     }
   }
@@ -151,7 +151,7 @@
     for (const worker_order& order : out.mOrders) {
       Order(aNode, order);
     }
-    for (const decision& note : out.mNotes) {
+    for (const decision& note : out.mDecisions) {
       ++mCounts[std::string(note.mEvent)];
     }
     std::ranges::move(out.mReplies, std::back_inserter(one.mReplies));
@@ -188,11 +188,11 @@
     [this, aFrom, life, id = aOrder.mId](const order_answer& aAnswer) {
       process& one = mNodes[aFrom];
       if (one.mCore != nullptr && one.mLife == life) {
-        one.mCore->OrderAnswered(id, aAnswer, At());
+        one.mCore->OnOrderAnswer(id, aAnswer, At());
       }
     };
   const auto place = std::ranges::find_if(mWorkers, [&](const auto& aPlace) {
-    return aPlace.mWorker->Facts().mAddress == aOrder.mAddress;
+    return aPlace.mWorker->Description().mAddress == aOrder.mAddress;
   });
   const milliseconds wait{ 600 };
   if (place == mWorkers.end() || place->mCut || !HandOver(aFrom, aOrder)) {
@@ -207,14 +207,15 @@
   }
   if (mRandom.Fraction() < mLateShare) {
     // The worker's process holds it, and takes it along when it ends.
-    const std::int64_t born = mWorkers[worker].mWorker->Facts().mBornMs;
+    const std::int64_t born =
+      mWorkers[worker].mWorker->Description().mProcessStartMs;
     At(kLeastLate + milliseconds(mRandom.Below(kLateSpanMs)),
        [this, worker, aOrder, born]() {
          fake_worker& late = *mWorkers[worker].mWorker;
-         if (late.Facts().mBornMs == born) {
-           late.mIsLate = true;
+         if (late.Description().mProcessStartMs == born) {
+           late.mHandlesLateOrder = true;
            Arrive(worker, aOrder);
-           late.mIsLate = false;
+           late.mHandlesLateOrder = false;
          }
        });
     At(wait, [answer]() { answer(order_answer{}); });
@@ -244,7 +245,8 @@
 {
   fake_worker& worker = *mWorkers[aWorker].mWorker;
   const bool forOther =
-    aOrder.mBornMs != 0 && aOrder.mBornMs != worker.Facts().mBornMs;
+    aOrder.mProcessStartMs != 0 &&
+    aOrder.mProcessStartMs != worker.Description().mProcessStartMs;
   if (!forOther || !worker.IsUp()) {
     return worker.Handle(aOrder, mNow);
   }
@@ -253,12 +255,12 @@
   }
   // Over a new connection: the process that is there is asked who it is.
   worker_order question = aOrder;
-  question.mBornMs = 0;
+  question.mProcessStartMs = 0;
   question.mLeaseClockMs.reset();
-  question.mBody = hold_order{};
+  question.mBody = poll_order{};
   const order_answer told = worker.Handle(question, mNow);
   order_answer refusal;
-  refusal.mBornMs = told.mBornMs;
+  refusal.mProcessStartMs = told.mProcessStartMs;
   refusal.mResult =
     told.mResult == order_result::Done ? order_result::NotSent : told.mResult;
   return refusal;
@@ -282,19 +284,19 @@
 bool
 fake_group::HandOver(std::size_t aFrom, const worker_order& aOrder)
 {
-  if (aOrder.mCarrier.empty()) {
+  if (aOrder.mRelay.empty()) {
     return true;
   }
   ++mCounts["order.carried"];
-  const std::size_t carrier = std::stoul(aOrder.mCarrier.substr(1));
+  const std::size_t carrier = std::stoul(aOrder.mRelay.substr(1));
   const process& one = mNodes[carrier];
   if (one.mCore != nullptr && !one.mPaused && !one.mCut &&
       !mNodes[aFrom].mCut) {
     return true;
   }
-  At(kHandOverBound, [this, aFrom, name = aOrder.mCarrier]() {
+  At(kHandOverBound, [this, aFrom, name = aOrder.mRelay]() {
     if (mNodes[aFrom].mCore != nullptr) {
-      mNodes[aFrom].mCore->CarrierFailed(name, At());
+      mNodes[aFrom].mCore->OnRelayFailure(name, At());
     }
   });
   return false;
@@ -308,16 +310,16 @@
       continue;
     }
     place.mBeatAt = mNow + kBeatEvery;
-    Ask(worker_beat{ place.mWorker->Facts(),
-                     place.mWorker->mDraining,
-                     0,
-                     place.mWorker->ClockMs(mNow),
-                     ++place.mBeat });
+    SendRequest(worker_heartbeat{ place.mWorker->Description(),
+                                  place.mWorker->mDraining,
+                                  0,
+                                  place.mWorker->ClockMs(mNow),
+                                  ++place.mBeat });
   }
 }
 
 void
-fake_group::BringWorkersBack(milliseconds aAway, bool aUnderTheirIds)
+fake_group::RestartCrashedWorkers(milliseconds aAway, bool aUnderTheirIds)
 {
   mAway = aAway;
   mBackUnderTheirIds = aUnderTheirIds;
@@ -340,10 +342,10 @@
     if (mBackUnderTheirIds) {
       place.mWorker->Restart(mNow);
     } else {
-      const std::string& id = place.mWorker->Facts().mId.Value();
-      place.mWorker->ComeBackAs(id.substr(0, id.find('~')) + "~" +
-                                  std::to_string(++place.mLives),
-                                mNow);
+      const std::string& id = place.mWorker->Description().mId.Value();
+      place.mWorker->RestartAs(id.substr(0, id.find('~')) + "~" +
+                                 std::to_string(++place.mLives),
+                               mNow);
     }
   }
 }
@@ -354,8 +356,8 @@
   for (std::size_t node = 0; node < mNodes.size(); ++node) {
     const auto& one = mNodes[node];
     if (one.mCore != nullptr && !one.mPaused && !one.mCut &&
-        one.mCore->WantsToJoin(mNow) && mRandom.Below(100) == 0) {
-      Ask(join_request{ Id(node).Value(), "n" + std::to_string(node) });
+        one.mCore->ShouldJoin(mNow) && mRandom.Below(100) == 0) {
+      SendRequest(join_request{ Id(node).Value(), "n" + std::to_string(node) });
     }
   }
 }
@@ -363,9 +365,9 @@
 std::size_t
 fake_group::AddWorker(const std::string& aId, double aSlow)
 {
-  worker_facts facts = testing::Worker(aId);
+  worker_description facts = testing::Worker(aId);
   facts.mAddress = "w" + std::to_string(mWorkers.size()) + ":1";
-  facts.mBornMs = At().mWallMs;
+  facts.mProcessStartMs = At().mWallMs;
   worker_place& place = mWorkers.emplace_back();
   place.mWorker = std::make_unique<fake_worker>(facts, aSlow, mOracle);
   return mWorkers.size() - 1;
@@ -446,14 +448,14 @@
 }
 
 std::optional<flow_answer>
-fake_group::Ask(const flow_request& aRequest)
+fake_group::SendRequest(const flow_request& aRequest)
 {
   const auto leader = Leader();
   if (!leader) {
     return std::nullopt;
   }
   const call_number call = ++mLastCall;
-  mNodes[*leader].mCore->Ask(call, aRequest, At());
+  mNodes[*leader].mCore->HandleRequest(call, aRequest, At());
   std::optional<flow_answer> answer;
   constexpr int kMostSteps = 40;
   for (int step = 0; step < kMostSteps && !answer; ++step) {
@@ -466,7 +468,7 @@
         answer = *reply.mAnswer;
       }
     }
-    if (!answer && std::holds_alternative<worker_beat>(aRequest)) {
+    if (!answer && std::holds_alternative<worker_heartbeat>(aRequest)) {
       return std::nullopt; // it is answered in its own time
     }
     if (!answer) {
@@ -482,13 +484,14 @@
 {
   job_submission job{ { "jobs.example", "/fees/" + aId }, {} };
   job.mSpec.mSteps = std::move(aSteps);
-  Ask(job);
+  SendRequest(job);
 }
 
 std::string
 fake_group::StateOf(const std::string& aId)
 {
-  const auto answer = Ask(job_query{ { "jobs.example", "/fees/" + aId } });
+  const auto answer =
+    SendRequest(job_query{ { "jobs.example", "/fees/" + aId } });
   const auto* job = answer ? std::get_if<job_answer>(&*answer) : nullptr;
   return job == nullptr ? "" : job->mText;
 }
--- a/testing/flow/fake_group.h
+++ b/testing/flow/fake_group.h
@@ -42,7 +42,7 @@
   void RestartWorker(std::size_t aWorker, duration aSilence = {});
   // A worker whose process has died is back after so long: under another id at
   // its address, or under its id. Without this it stays away.
-  void BringWorkersBack(milliseconds aAway, bool aUnderTheirIds);
+  void RestartCrashedWorkers(milliseconds aAway, bool aUnderTheirIds);
   void Kill(std::size_t aNode, bool aLoseUnsynced = false);
   void Wipe(std::size_t aNode); // and kills
   void Restart(std::size_t aNode);
@@ -62,10 +62,10 @@
   void HoldOrders(std::function<bool(const worker_order&)> aWhich);
   void ReleaseOrders();
   // How long a write to a disk takes.
-  void SetSync(milliseconds aSync) { mSync = aSync; }
+  void SetSyncTime(milliseconds aSync) { mSync = aSync; }
 
   // Asks all nodes in turn until one answers as the leader.
-  std::optional<flow_answer> Ask(const flow_request& aRequest);
+  std::optional<flow_answer> SendRequest(const flow_request& aRequest);
   void Submit(const std::string& aId, std::vector<step_spec> aSteps);
   std::string StateOf(const std::string& aId);
   std::optional<std::size_t> Leader() const;
--- a/testing/flow/fake_worker.cc
+++ b/testing/flow/fake_worker.cc
@@ -36,7 +36,7 @@
 } // namespace
 
 void
-run_oracle::Started(const run_ref& aRun, const std::string& aWhere)
+run_oracle::OnStarted(const run_ref& aRun, const std::string& aWhere)
 {
   ++mStarts;
   auto& running = mRunning[aRun.mTask];
@@ -51,8 +51,8 @@
   running.insert(aRun.mAttempt);
   constexpr std::size_t kMostCrashes = 3;
   constexpr std::size_t kMostStartsAfter = 2;
-  if (mCrashing && mCrashing(aRun.mTask) &&
-      CrashesUnder(aRun.mTask) >= kMostCrashes &&
+  if (mCrashesWorker && mCrashesWorker(aRun.mTask) &&
+      CrashCount(aRun.mTask) >= kMostCrashes &&
       ++mStartsAfter[aRun.mTask] > kMostStartsAfter) {
     mBroken.push_back(Name(aRun) + " starts at " + aWhere +
                       ", the third time after three workers crashed under it");
@@ -63,21 +63,21 @@
 }
 
 void
-run_oracle::Crashed(const run_ref& aRun)
+run_oracle::OnCrashed(const run_ref& aRun)
 {
   ++mCrashes[aRun.mTask];
-  Ended(aRun, run_outcome::Lapsed);
+  OnEnded(aRun, run_outcome::Lapsed);
 }
 
 std::size_t
-run_oracle::CrashesUnder(const task_ref& aTask) const
+run_oracle::CrashCount(const task_ref& aTask) const
 {
   const auto found = mCrashes.find(aTask);
   return found == mCrashes.end() ? 0 : found->second;
 }
 
 void
-run_oracle::Ended(const run_ref& aRun, run_outcome aHow)
+run_oracle::OnEnded(const run_ref& aRun, run_outcome aHow)
 {
   mRunning[aRun.mTask].erase(aRun.mAttempt);
   mEnds[aRun] = aHow;
@@ -87,7 +87,7 @@
 }
 
 void
-run_oracle::Noted(const run_ref& aRun)
+run_oracle::OnEndAcknowledged(const run_ref& aRun)
 {
   if (mEnds[aRun] == run_outcome::Done && !mExcused.contains(aRun)) {
     mDoneNoted.insert(aRun.mTask);
@@ -95,12 +95,14 @@
 }
 
 void
-run_oracle::NoteOverBooked(const run_ref& aRun, const std::string& aWhere)
+run_oracle::OnOverCapacity(const run_ref& aRun, const std::string& aWhere)
 {
   mBroken.push_back(Name(aRun) + " brings " + aWhere + " over its capacity");
 }
 
-fake_worker::fake_worker(worker_facts aFacts, double aSlow, run_oracle& aOracle)
+fake_worker::fake_worker(worker_description aFacts,
+                         double aSlow,
+                         run_oracle& aOracle)
   : mFacts(std::move(aFacts))
   , mSlow(aSlow)
   , mOracle(aOracle)
@@ -119,8 +121,8 @@
 fake_worker::Handle(const worker_order& aOrder, time_point aNow)
 {
   Advance(aNow);
-  if (!mUp || aOrder.mLife != mFacts.mId) {
-    return With(mUp ? order_result::OtherLife : order_result::NotSent);
+  if (!mUp || aOrder.mWorkerId != mFacts.mId) {
+    return With(mUp ? order_result::OtherIncarnation : order_result::NotSent);
   }
   order_answer answer = With(order_result::Done);
   if (aOrder.mFence < mFence) {
@@ -136,7 +138,7 @@
   std::visit(overloaded{
                [&](const start_order& aStart) {
                  answer = *aOrder.mLeaseClockMs <= ClockMs(aNow)
-                            ? With(order_result::Late)
+                            ? With(order_result::LeaseExpired)
                             : Start(aStart, aNow);
                },
                [&](const stop_order& aStop) {
@@ -146,13 +148,13 @@
                    End(aStop.mRun, run_outcome::Stopped);
                  }
                },
-               [&](const hold_order& aHold) {
+               [&](const poll_order& aHold) {
                  Forget(aHold.mCursor);
                  for (const auto& [run, live] : mRuns) {
                    answer.mRunning.push_back({ run, {}, 100, 0 });
                  }
                  answer.mEnded = mEnds;
-                 answer.mBornMs = mFacts.mBornMs;
+                 answer.mProcessStartMs = mFacts.mProcessStartMs;
                },
                [](const pace_order&) {},
              },
@@ -164,14 +166,14 @@
 void
 fake_worker::Forget(std::uint64_t aCursor)
 {
-  if (mForgetsOnRise && aCursor <= mToldCursor) {
+  if (mForgetsOnHigherCursor && aCursor <= mToldCursor) {
     return;
   }
   mToldCursor = aCursor;
   std::erase_if(mEnds, [&](const listed_end& aEnd) {
     const bool told = aEnd.mNumber <= aCursor;
     if (told) {
-      mOracle.Noted(aEnd.mEnd.mRun);
+      mOracle.OnEndAcknowledged(aEnd.mEnd.mRun);
     }
     return told;
   });
@@ -185,16 +187,17 @@
   }
   const auto over = mOver.find(aStart.mRun.mTask);
   if (over != mOver.end() && aStart.mRun.mAttempt <= over->second) {
-    return With(order_result::Outlived);
+    return With(order_result::StaleAttempt);
   }
-  mOracle.Started(aStart.mRun, mFacts.mId.Value());
+  mOracle.OnStarted(aStart.mRun, mFacts.mId.Value());
   const bool crashes =
-    mOracle.mCrashing && mOracle.mCrashing(aStart.mRun.mTask);
+    mOracle.mCrashesWorker && mOracle.mCrashesWorker(aStart.mRun.mTask);
   mRuns[aStart.mRun] = { aNow + (crashes ? kCrashesAfter : mWorkTime),
                          crashes };
-  const cell::resources used = mSize * static_cast<std::int64_t>(mRuns.size());
-  if (!mIsLate && !MayHold(used, aNow)) {
-    mOracle.NoteOverBooked(aStart.mRun, mFacts.mId.Value());
+  const cell::resources used =
+    mTaskSize * static_cast<std::int64_t>(mRuns.size());
+  if (!mHandlesLateOrder && !MayHold(used, aNow)) {
+    mOracle.OnOverCapacity(aStart.mRun, mFacts.mId.Value());
   }
   return With(order_result::Done);
 }
@@ -206,7 +209,7 @@
   attempt_t& over = mOver[aRun.mTask];
   over = std::max(over, aRun.mAttempt);
   mEnds.push_back({ ++mLastEnd, { aRun, aHow, {} } });
-  mOracle.Ended(aRun, aHow);
+  mOracle.OnEnded(aRun, aHow);
 }
 
 void
@@ -221,7 +224,7 @@
     // What ended before the lapse and isn't acknowledged by then doesn't bind
     // leaders any more: they could only have waited for the lapse.
     for (const listed_end& end : mEnds) {
-      mOracle.Excused(end.mEnd.mRun);
+      mOracle.ExcuseEnd(end.mEnd.mRun);
     }
   }
   for (const auto& [run, live] : mRuns) {
@@ -231,7 +234,7 @@
     }
     if (live.mDoneAt <= aNow && !lapsed) {
       const bool fails =
-        mFailsFirst && run.mAttempt == 1 && run.mTask.mIndex % 2 == 1;
+        mFailsFirstAttempts && run.mAttempt == 1 && run.mTask.mIndex % 2 == 1;
       over.emplace_back(run, fails ? run_outcome::Failed : run_outcome::Done);
     } else if (lapsed) {
       over.emplace_back(run, run_outcome::Lapsed);
@@ -270,12 +273,12 @@
 {
   mUp = false;
   for (const auto& [run, live] : std::exchange(mRuns, {})) {
-    mOracle.Crashed(run);
+    mOracle.OnCrashed(run);
   }
 }
 
 void
-fake_worker::ComeBackAs(const std::string& aId, time_point aNow)
+fake_worker::RestartAs(const std::string& aId, time_point aNow)
 {
   Restart(aNow);
   mFacts.mId = worker_id(aId);
@@ -293,7 +296,7 @@
   mLastEnd = 0;
   mToldCursor = 0;
   mClockZero = aNow;
-  mFacts.mBornMs =
+  mFacts.mProcessStartMs =
     std::chrono::duration_cast<milliseconds>(aNow.time_since_epoch()).count();
 }
 
--- a/testing/flow/fake_worker.h
+++ b/testing/flow/fake_worker.h
@@ -22,18 +22,18 @@
 class run_oracle
 {
 public:
-  void Started(const run_ref& aRun, const std::string& aWhere);
-  void Ended(const run_ref& aRun, run_outcome aHow);
+  void OnStarted(const run_ref& aRun, const std::string& aWhere);
+  void OnEnded(const run_ref& aRun, run_outcome aHow);
   // A worker was told that it may forget the run's end.
-  void Noted(const run_ref& aRun);
+  void OnEndAcknowledged(const run_ref& aRun);
   // Its worker's lease lapsed between the end and its acknowledgement.
-  void Excused(const run_ref& aRun) { mExcused.insert(aRun); }
-  void NoteOverBooked(const run_ref& aRun, const std::string& aWhere);
+  void ExcuseEnd(const run_ref& aRun) { mExcused.insert(aRun); }
+  void OnOverCapacity(const run_ref& aRun, const std::string& aWhere);
   // The worker's process died while this ran there.
-  void Crashed(const run_ref& aRun);
-  [[nodiscard]] std::size_t CrashesUnder(const task_ref& aTask) const;
+  void OnCrashed(const run_ref& aRun);
+  [[nodiscard]] std::size_t CrashCount(const task_ref& aTask) const;
 
-  [[nodiscard]] const std::vector<std::string>& Broken() const
+  [[nodiscard]] const std::vector<std::string>& Violations() const
   {
     return mBroken;
   }
@@ -41,7 +41,7 @@
 
   // Tasks that crash each worker that starts them: no such task may start three
   // times more after three workers have crashed under it.
-  std::function<bool(const task_ref&)> mCrashing;
+  std::function<bool(const task_ref&)> mCrashesWorker;
   // Who else wants to know.
   std::function<void(const run_ref&)> mOnStart;
   std::function<void(const run_ref&, run_outcome)> mOnEnd;
@@ -61,7 +61,7 @@
 {
 public:
   // aSlow: by how much its clock runs slower than true time.
-  fake_worker(worker_facts aFacts, double aSlow, run_oracle& aOracle);
+  fake_worker(worker_description aFacts, double aSlow, run_oracle& aOracle);
 
   // What it would answer at aNow.
   order_answer Handle(const worker_order& aOrder, time_point aNow);
@@ -74,22 +74,22 @@
   // and its clock start anew.
   void Restart(time_point aNow);
   // As Restart, under another id.
-  void ComeBackAs(const std::string& aId, time_point aNow);
+  void RestartAs(const std::string& aId, time_point aNow);
   [[nodiscard]] std::int64_t ClockMs(time_point aNow) const;
-  [[nodiscard]] const worker_facts& Facts() const { return mFacts; }
+  [[nodiscard]] const worker_description& Description() const { return mFacts; }
   [[nodiscard]] bool IsUp() const { return mUp; }
   // Its capacity changes; its next heartbeat says so.
   void SetCapacity(const cell::resources& aCapacity, time_point aNow);
 
   milliseconds mWorkTime{ 300 };
-  cell::resources mSize; // of any task; for the booking judged here
-  bool mFailsFirst = false;
+  cell::resources mTaskSize; // of any task; for the booking judged here
+  bool mFailsFirstAttempts = false;
   bool mDraining = false;
   // It carries out an order late: the rule on its capacity doesn't bind it.
-  bool mIsLate = false;
+  bool mHandlesLateOrder = false;
   // Ends are forgotten only when a look names a higher cursor than all before
   // it; else by each look that names one. A worker may do either.
-  bool mForgetsOnRise = false;
+  bool mForgetsOnHigherCursor = false;
 
 private:
   struct live_run
@@ -106,7 +106,7 @@
   [[nodiscard]] bool MayHold(const cell::resources& aUsed,
                              time_point aNow) const;
 
-  worker_facts mFacts;
+  worker_description mFacts;
   double mSlow;
   run_oracle& mOracle;
   bool mUp = true;
--- a/testing/flow/fixtures.h
+++ b/testing/flow/fixtures.h
@@ -23,7 +23,7 @@
   row.mTimeoutMs = 3'000;
   row.mTargetMs = 250;
   row.mPriority = aPriority;
-  row.mMostAttempts = 2;
+  row.mMaxAttempts = 2;
   row.mStretch = 1.5;
   return row;
 }
@@ -38,10 +38,10 @@
   return step;
 }
 
-inline worker_facts
+inline worker_description
 Worker(const std::string& aId, std::int64_t aMilliProcessors = 8'000)
 {
-  worker_facts facts;
+  worker_description facts;
   facts.mId = worker_id(aId);
   facts.mAddress = "10.0.0." + std::to_string(aId.size()) + ":80";
   facts.mService = service_id("pay");
@@ -69,7 +69,7 @@
     return mState.Apply({ aWallMs, std::move(aBody) });
   }
 
-  worker_number AddWorker(const worker_facts& aFacts)
+  worker_number AddWorker(const worker_description& aFacts)
   {
     Apply(register_worker{ aFacts, false });
     return mState.NumberOf(aFacts.mId);
--- a/testing/flow/flow_history.cc
+++ b/testing/flow/flow_history.cc
@@ -23,8 +23,8 @@
   player(const flow_choices& aChoose,
          std::uint64_t aSeed,
          flow_options aOptions,
-         history_troubles aTroubles,
-         history_account& aAccount)
+         history_faults aTroubles,
+         history_counts& aAccount)
     : mChoose(aChoose)
     , mTroubles(aTroubles)
     , mAccount(aAccount)
@@ -58,8 +58,8 @@
         break;
       }
       (this->*mActions[*chosen])();
-      if (!mGroup.Oracle().Broken().empty()) {
-        return mGroup.Oracle().Broken().front();
+      if (!mGroup.Oracle().Violations().empty()) {
+        return mGroup.Oracle().Violations().front();
       }
     }
     return Finish();
@@ -83,9 +83,9 @@
 
   void SetCrashes()
   {
-    mGroup.BringWorkersBack(milliseconds(500 * (1 + Choose(16))),
-                            mTroubles.mRestarts && Choose(2) == 0);
-    mGroup.Oracle().mCrashing = [this](const task_ref& aTask) {
+    mGroup.RestartCrashedWorkers(milliseconds(500 * (1 + Choose(16))),
+                                 mTroubles.mRestarts && Choose(2) == 0);
+    mGroup.Oracle().mCrashesWorker = [this](const task_ref& aTask) {
       return IsCrashing(aTask);
     };
     mGroup.Oracle().mOnStart = [this](const run_ref& aRun) {
@@ -97,9 +97,9 @@
   {
     const std::size_t made = mGroup.AddWorker(
       "w" + std::to_string(mWorkers.size()), Choose(2) == 0 ? 0 : 0.02);
-    mGroup.Worker(made).mSize = testing::Step(1, 2'000).mSize;
+    mGroup.Worker(made).mTaskSize = testing::Step(1, 2'000).mSize;
     mGroup.Worker(made).mWorkTime = milliseconds(100 + 100 * Choose(20));
-    mGroup.Worker(made).mFailsFirst = Choose(3) == 0;
+    mGroup.Worker(made).mFailsFirstAttempts = Choose(3) == 0;
     mWorkers.push_back(made);
   }
 
@@ -109,7 +109,7 @@
       constexpr std::uint64_t kBusyOf = 3; // one span in three is busy
       const bool busy = Choose(kBusyOf) == 0;
       mGroup.SetOrderDelay(milliseconds(busy ? 100 + 100 * Choose(30) : 0));
-      mGroup.SetSync(milliseconds(busy ? 10 + 100 * Choose(10) : 9));
+      mGroup.SetSyncTime(milliseconds(busy ? 10 + 100 * Choose(10) : 9));
     }
     mGroup.Run(milliseconds(50 * (1 + Choose(40))));
   }
@@ -134,7 +134,7 @@
       // A gang's members end together: all of them crash.
       mCrashing[id] = first.mGang || Choose(4) == 0;
     }
-    const auto answer = mGroup.Ask(job_submission{
+    const auto answer = mGroup.SendRequest(job_submission{
       { "jobs.example", "/fees/" + id }, { "", { first, second }, {} } });
     if (answer) {
       mJobs[id] = false;
@@ -149,7 +149,8 @@
     auto job = mJobs.begin();
     std::advance(job, static_cast<long>(Choose(mJobs.size())));
     job->second = true; // also if the answer is lost
-    mGroup.Ask(job_cancellation{ { "jobs.example", "/fees/" + job->first } });
+    mGroup.SendRequest(
+      job_cancellation{ { "jobs.example", "/fees/" + job->first } });
   }
 
   void Kill() { mGroup.Kill(Choose(kNodes), Choose(2) == 0); }
@@ -203,7 +204,7 @@
   {
     const std::size_t chosen = mWorkers[Choose(mWorkers.size())];
     if (mGroup.Worker(chosen).IsUp()) {
-      mGroup.Worker(chosen).mForgetsOnRise = Choose(2) == 0;
+      mGroup.Worker(chosen).mForgetsOnHigherCursor = Choose(2) == 0;
       mGroup.RestartWorker(chosen, milliseconds(100 * Choose(15)));
     }
   }
@@ -277,7 +278,7 @@
     constexpr std::uint32_t kMostTasks = 6;
     for (std::uint32_t at = 0; at < 2 * kMostTasks; ++at) {
       const task_ref task{ job_id(aId), 0, at / kMostTasks, at % kMostTasks };
-      most = std::max(most, mGroup.Oracle().CrashesUnder(task));
+      most = std::max(most, mGroup.Oracle().CrashCount(task));
     }
     return most;
   }
@@ -287,8 +288,8 @@
     if (mCrashing.contains(aId)) {
       ++mAccount.mCrashingJobs;
     } else {
-      ++mAccount.mInnocentJobs;
-      mAccount.mInnocentFailed += aState == "failed" ? 1 : 0;
+      ++mAccount.mNormalJobs;
+      mAccount.mFailedNormalJobs += aState == "failed" ? 1 : 0;
     }
   }
 
@@ -297,7 +298,7 @@
     mGroup.SetLateShare(0);
     mGroup.ReleaseOrders();
     mGroup.SetOrderDelay(milliseconds(0));
-    mGroup.SetSync(milliseconds(9));
+    mGroup.SetSyncTime(milliseconds(9));
     for (std::size_t node = 0; node < kNodes; ++node) {
       mGroup.Cut(node, false);
     }
@@ -313,8 +314,8 @@
       AddWorker();
     }
     mGroup.Run(seconds(45));
-    if (!mGroup.Oracle().Broken().empty()) {
-      return mGroup.Oracle().Broken().front();
+    if (!mGroup.Oracle().Violations().empty()) {
+      return mGroup.Oracle().Violations().front();
     }
     for (const auto& [id, cancelled] : mJobs) {
       if (auto broken = CheckEnd(id, cancelled)) {
@@ -325,8 +326,8 @@
   }
 
   const flow_choices& mChoose;
-  history_troubles mTroubles;
-  history_account& mAccount;
+  history_faults mTroubles;
+  history_counts& mAccount;
   fake_group mGroup;
   std::vector<std::size_t> mWorkers;
   std::map<std::string, bool> mJobs; // whether a cancel was sent
@@ -350,11 +351,11 @@
 PlayFlowHistory(const flow_choices& aChoose,
                 int aMost,
                 flow_options aOptions,
-                history_troubles aTroubles,
-                history_account* aAccount)
+                history_faults aTroubles,
+                history_counts* aAccount)
 {
   const std::uint64_t seed = aChoose(1U << 16U).value_or(1);
-  history_account account;
+  history_counts account;
   auto broken = player(aChoose, seed, aOptions, aTroubles, account).Play(aMost);
   if (aAccount != nullptr) {
     *aAccount = account;
@@ -366,8 +367,8 @@
 PlayFlowSeed(std::uint64_t aSeed,
              int aMost,
              flow_options aOptions,
-             history_troubles aTroubles,
-             history_account* aAccount)
+             history_faults aTroubles,
+             history_counts* aAccount)
 {
   random_source random(aSeed);
   const flow_choices choose =
--- a/testing/flow/flow_history.h
+++ b/testing/flow/flow_history.h
@@ -28,7 +28,7 @@
 //   have crashed under it, and its job ends as failed.
 // aTroubles: what may befall it beside the usual. aOptions: how the group is
 // set up; with mWorkersAlone = 0 the leader's orders are carried by the others.
-struct history_troubles
+struct history_faults
 {
   // The leader is busy at times: orders and answers take up to seconds, and a
   // commit up to one.
@@ -44,27 +44,27 @@
 };
 
 // What befell the jobs of a history beside its promises.
-struct history_account
+struct history_counts
 {
   std::size_t mCrashingJobs = 0;   // with a task that crashes its workers
   std::size_t mCrashingStarts = 0; // of such tasks
-  std::size_t mInnocentJobs = 0;
-  std::size_t mInnocentFailed = 0;
+  std::size_t mNormalJobs = 0;
+  std::size_t mFailedNormalJobs = 0;
 };
 
 std::optional<std::string>
 PlayFlowHistory(const flow_choices& aChoose,
                 int aMost,
                 flow_options aOptions = {},
-                history_troubles aTroubles = {},
-                history_account* aAccount = nullptr);
+                history_faults aTroubles = {},
+                history_counts* aAccount = nullptr);
 
 // The same, with all choices drawn from a seed.
 std::optional<std::string>
 PlayFlowSeed(std::uint64_t aSeed,
              int aMost,
              flow_options aOptions = {},
-             history_troubles aTroubles = {},
-             history_account* aAccount = nullptr);
+             history_faults aTroubles = {},
+             history_counts* aAccount = nullptr);
 
 } // namespace oriolewalk::flow
--- a/testing/flow/flow_history_test.cc
+++ b/testing/flow/flow_history_test.cc
@@ -14,7 +14,7 @@
 PlaySeed(std::uint64_t aSeed,
          int aActions,
          flow_options aOptions,
-         history_troubles aTroubles)
+         history_faults aTroubles)
 {
   CAPTURE(aSeed);
   const auto broken = PlayFlowSeed(aSeed, aActions, aOptions, aTroubles);
@@ -24,7 +24,7 @@
 void
 PlaySeeds(std::uint64_t aSeeds,
           flow_options aOptions,
-          history_troubles aTroubles = {})
+          history_faults aTroubles = {})
 {
   constexpr int kActions = 60;
   for (std::uint64_t seed = 1; seed <= aSeeds; ++seed) {
@@ -45,7 +45,7 @@
   // order may be lost with its carrier, or carried out when nobody waits for
   // its answer any more.
   flow_options options;
-  options.mWorkersAlone = 0;
+  options.mMaxWorkersWithoutRelays = 0;
   PlaySeeds(150, options);
 }
 
@@ -64,7 +64,7 @@
   // the leader kept of the process before must not be taken for the new one's.
   PlaySeeds(150, {}, { .mRestarts = true });
   flow_options carried;
-  carried.mWorkersAlone = 0;
+  carried.mMaxWorkersWithoutRelays = 0;
   PlaySeeds(75, carried, { .mRestarts = true });
   PlaySeeds(75, {}, { .mBusy = true, .mRestarts = true });
 }
@@ -74,7 +74,7 @@
   // Guards against orders that go on after seconds and reach a process that
   // started meanwhile.
   flow_options carried;
-  carried.mWorkersAlone = 0;
+  carried.mMaxWorkersWithoutRelays = 0;
   PlaySeeds(75, {}, { .mBusy = true, .mRestarts = true, .mHolds = true });
   PlaySeeds(75, carried, { .mRestarts = true, .mHolds = true });
 }
@@ -84,7 +84,7 @@
   // Guards against crashes that aren't counted: between changes of leader,
   // silent workers, restarts and late orders.
   flow_options carried;
-  carried.mWorkersAlone = 0;
+  carried.mMaxWorkersWithoutRelays = 0;
   PlaySeeds(150, {}, { .mCrashing = true });
   PlaySeeds(75, {}, { .mRestarts = true, .mCrashing = true });
   PlaySeeds(75, carried, { .mBusy = true, .mCrashing = true });
@@ -95,7 +95,7 @@
   // Guards against starts by a capacity that a late heartbeat, another leader
   // or a commit under way doesn't show.
   flow_options carried;
-  carried.mWorkersAlone = 0;
+  carried.mMaxWorkersWithoutRelays = 0;
   PlaySeeds(150, {}, { .mShrinking = true });
   PlaySeeds(75, carried, { .mBusy = true, .mShrinking = true });
   PlaySeeds(75, {}, { .mRestarts = true, .mHolds = true, .mShrinking = true });
@@ -107,7 +107,7 @@
   // than a heartbeat's pause (2071, 202, 815), one that was paused (1097), a
   // start that overtakes the commit of the change (1374).
   flow_options carried;
-  carried.mWorkersAlone = 0;
+  carried.mMaxWorkersWithoutRelays = 0;
   for (const std::uint64_t seed : { 1'097, 1'374, 2'071 }) {
     PlaySeed(seed, 60, {}, { .mShrinking = true });
   }
@@ -121,7 +121,7 @@
   // Guards against a start that was planned by room that shrinks while it
   // stands still on its way, with a lease that is still valid.
   flow_options carried;
-  carried.mWorkersAlone = 0;
+  carried.mMaxWorkersWithoutRelays = 0;
   PlaySeed(1'872,
            60,
            carried,
@@ -137,7 +137,7 @@
   // Guards against a loss that is forgotten when the silent worker is taken
   // out: seed 855 started the task once too often.
   flow_options carried;
-  carried.mWorkersAlone = 0;
+  carried.mMaxWorkersWithoutRelays = 0;
   PlaySeed(855, 60, carried, { .mBusy = true, .mCrashing = true });
 }
 
@@ -158,7 +158,7 @@
   // and not in the group yet, when a second one loses its disk. That is one
   // loss more than the group of two bears, and no fault of it.
   flow_options options;
-  options.mWorkersAlone = 0;
+  options.mMaxWorkersWithoutRelays = 0;
   PlaySeed(1'077, 100, options, { .mBusy = true });
 }
 
@@ -168,7 +168,7 @@
   // worker is not renewed and its ends aren't seen until another one carries
   // them; a job that runs there goes on, and the next one is done soon.
   flow_options options;
-  options.mWorkersAlone = 0;
+  options.mMaxWorkersWithoutRelays = 0;
   fake_group group(3, 3, 7, 9, options);
   group.AddWorker("w");
   group.Run(seconds(2));
@@ -180,7 +180,7 @@
   CHECK(group.RunUntil(
     [&]() { return group.StateOf("0000000000000001") == "done"; }, seconds(4)));
   CHECK(group.Count("order.carried") > 0);
-  CHECK(group.Oracle().Broken().empty());
+  CHECK(group.Oracle().Violations().empty());
 }
 
 } // namespace oriolewalk::flow
--- a/testing/flow/flow_state_test.cc
+++ b/testing/flow/flow_state_test.cc
@@ -22,7 +22,7 @@
     made.Start(state_builder::Run(many, 1, index), worker);
   }
   made.Apply(
-    keep_checkpoints{ { { state_builder::Run(one, 1, 0), "a" },
+    save_checkpoints{ { { state_builder::Run(one, 1, 0), "a" },
                         { state_builder::Run(many, 1, 1), "b" },
                         // Of an attempt that isn't under way.
                         { state_builder::Run(one, 2, 1), "c" },
@@ -42,8 +42,8 @@
   // registered. Were they applied to it, its cursor would be the former one's
   // and its ends be passed over.
   state_builder made;
-  worker_facts facts = Worker("w");
-  facts.mBornMs = 1'000;
+  worker_description facts = Worker("w");
+  facts.mProcessStartMs = 1'000;
   const worker_number before = made.AddWorker(facts);
   const job_id job = made.AddJob("01", { Step(3, 500) });
   const run_ref ended = state_builder::Run(job, 1, 0);
@@ -51,33 +51,34 @@
   made.Start(ended, before);
   made.Start(placed, before);
   made.End(ended, before, run_outcome::Done, 7);
-  facts.mBornMs = 2'000;
-  CHECK(made.Apply(register_worker{ facts, false }).mFormerLife == before);
+  facts.mProcessStartMs = 2'000;
+  CHECK(made.Apply(register_worker{ facts, false }).mPreviousIncarnation ==
+        before);
   const worker_number after = made.mState.NumberOf(facts.mId);
   CHECK(after != before);
   CHECK(made.mState.FindWorker(before) == nullptr);
   CHECK(made.mState.FindWorker(after)->mCursor == 0);
   CHECK(made.mState.IsPlaced(placed, after));
-  CHECK(made.mState.PlacedAt(after).size() == 1);
-  CHECK(made.mState.AmountsAt(after).mBooked == Step(1, 500).mSize);
-  CHECK(made.mState.PlacedAt(before).empty());
+  CHECK(made.mState.RunsAt(after).size() == 1);
+  CHECK(made.mState.TotalsAt(after).mBooked == Step(1, 500).mSize);
+  CHECK(made.mState.RunsAt(before).empty());
   // What was under way for the life before, and a late heartbeat of it.
   CHECK(made.End(placed, before, run_outcome::Done, 8).mError);
   CHECK(made.Start(state_builder::Run(job, 1, 2), before).mStarted.empty());
   made.Apply(drop_runs{ before, { placed } });
   made.Apply(remove_worker{ before });
-  facts.mBornMs = 1'000;
+  facts.mProcessStartMs = 1'000;
   CHECK(made.Apply(register_worker{ facts, true }).mError);
   CHECK(made.mState.IsPlaced(placed, after));
   CHECK_FALSE(made.mState.FindWorker(after)->mDraining);
-  CHECK(made.mState.FindWorker(after)->mFacts.mBornMs == 2'000);
+  CHECK(made.mState.FindWorker(after)->mDescription.mProcessStartMs == 2'000);
   // The books are the same after a restart of ours.
   flow_state restored;
   REQUIRE(restored.Restore(made.mState.Save()));
-  CHECK(restored.PlacedAt(after) == made.mState.PlacedAt(after));
-  CHECK(restored.AmountsAt(after).mBooked == Step(1, 500).mSize);
+  CHECK(restored.RunsAt(after) == made.mState.RunsAt(after));
+  CHECK(restored.TotalsAt(after).mBooked == Step(1, 500).mSize);
   CHECK(made.End(placed, after, run_outcome::Done, 1).mError == std::nullopt);
-  CHECK(made.mState.AmountsAt(after).mBooked == cell::resources{});
+  CHECK(made.mState.TotalsAt(after).mBooked == cell::resources{});
 }
 
 TEST_CASE("a job sent again is one job")
@@ -90,7 +91,7 @@
   made.Start(state_builder::Run(job, 1), worker);
   made.AddJob("00", { Step(5, 1'000) });
   CHECK(made.mState.FindJob(job)->mSpec.mSteps[0].mCount == 1);
-  CHECK(made.mState.FindJob(job)->mBegun);
+  CHECK(made.mState.FindJob(job)->mHasStarted);
 }
 
 TEST_CASE("a step waits for those that it depends on")
@@ -175,18 +176,18 @@
   CHECK(made.mState.FindJob(job)->mState == job_state::Done);
   // The others end in the same moment, but until a member's own end is listed
   // its worker may still run it: its room isn't given away.
-  CHECK(made.mState.AmountsAt(worker).mBooked.mMilliProcessors == 2'000);
+  CHECK(made.mState.TotalsAt(worker).mBooked.mMilliProcessors == 2'000);
   made.End(state_builder::Run(job, 2, 0), worker, run_outcome::Done, 5);
   made.End(state_builder::Run(job, 2, 2), worker, run_outcome::Done, 6);
-  CHECK(made.mState.AmountsAt(worker).mBooked.mMilliProcessors == 0);
-  CHECK_FALSE(made.mState.Live().contains(job));
+  CHECK(made.mState.TotalsAt(worker).mBooked.mMilliProcessors == 0);
+  CHECK_FALSE(made.mState.LiveJobs().contains(job));
 }
 
 TEST_CASE("a lasting task starts again however it ends")
 {
   state_builder made;
   step_spec lasting = Step(1, 1'000);
-  lasting.mLasting = true;
+  lasting.mLongRunning = true;
   const job_id job = made.AddJob("00", { lasting });
   const worker_number worker = made.AddWorker(Worker("w"));
   for (attempt_t attempt = 1; attempt <= 5; ++attempt) {
@@ -210,9 +211,9 @@
   const worker_number other = made.AddWorker(Worker("ww"));
   made.Apply(cancel_job{ job });
   CHECK(made.Start(state_builder::Run(job, 1, 1), other).mStarted.empty());
-  CHECK(made.mState.Live().contains(job)); // a run may be under way
+  CHECK(made.mState.LiveJobs().contains(job)); // a run may be under way
   made.End(state_builder::Run(job, 1), worker, run_outcome::Stopped);
-  CHECK_FALSE(made.mState.Live().contains(job));
+  CHECK_FALSE(made.mState.LiveJobs().contains(job));
   CHECK(made.mState.FindJob(job)->mState == job_state::Cancelled);
 }
 
@@ -223,9 +224,9 @@
   const worker_number worker = made.AddWorker(Worker("w"));
   made.Start(state_builder::Run(job, 1, 0), worker);
   made.Start(state_builder::Run(job, 1, 1), worker);
-  CHECK(made.mState.AmountsAt(worker).mBooked.mMilliProcessors == 2'000);
+  CHECK(made.mState.TotalsAt(worker).mBooked.mMilliProcessors == 2'000);
   made.Apply(remove_worker{ worker });
-  CHECK(made.mState.PlacedAt(worker).empty());
+  CHECK(made.mState.RunsAt(worker).empty());
   CHECK(made.mState.FindTask({ job, 0, 0, 0 })->mPhase == task_phase::Waiting);
   // The next life has a number of its own.
   CHECK(made.AddWorker(Worker("w")) != worker);
@@ -270,7 +271,7 @@
   REQUIRE(read.Restore(made.mState.Save()));
   CHECK(read.Save() == made.mState.Save());
   CHECK(read.IsPlaced(state_builder::Run(job, 1), worker));
-  CHECK(read.AmountsAt(worker).mBooked.mMilliProcessors == 1'000);
+  CHECK(read.TotalsAt(worker).mBooked.mMilliProcessors == 1'000);
   CHECK_FALSE(read.Restore("rubbish"));
 }
 
--- a/testing/flow/group_test.cc
+++ b/testing/flow/group_test.cc
@@ -27,7 +27,7 @@
     for (std::size_t worker = 0; worker < aWorkers; ++worker) {
       const std::size_t made =
         mGroup.AddWorker("w" + std::to_string(worker), 0.02);
-      mGroup.Worker(made).mSize = Step(1, 1'000).mSize;
+      mGroup.Worker(made).mTaskSize = Step(1, 1'000).mSize;
     }
     mGroup.Run(seconds(2));
   }
@@ -49,7 +49,7 @@
   scene.mGroup.Submit(kJob, { Step(6, 1'000), second });
   CHECK(scene.EndsAs("done", seconds(5)));
   CHECK(scene.mGroup.Oracle().Starts() == 8);
-  CHECK(scene.mGroup.Oracle().Broken().empty());
+  CHECK(scene.mGroup.Oracle().Violations().empty());
 }
 
 TEST_CASE("a killed leader's work goes on and nothing starts twice")
@@ -68,7 +68,7 @@
     scene.mGroup.Run(seconds(3));
     scene.mGroup.Restart(leader);
     CHECK(scene.EndsAs("done", seconds(15)));
-    CHECK(scene.mGroup.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
     CHECK(scene.mGroup.Oracle().Starts() <= 24);
   }
 }
@@ -84,7 +84,7 @@
     scene.mGroup.Run(seconds(4));
     scene.mGroup.Pause(leader, false);
     CHECK(scene.EndsAs("done", seconds(15)));
-    CHECK(scene.mGroup.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
@@ -134,7 +134,7 @@
     CAPTURE(seed);
     fake_group group(5, 3, seed, kVoters);
     group.AddWorker("w0");
-    group.Worker(0).mSize = Step(1, 1'000).mSize;
+    group.Worker(0).mTaskSize = Step(1, 1'000).mSize;
     group.Run(seconds(5));
     REQUIRE(group.Leader());
     const auto voters = [&]() {
@@ -166,11 +166,11 @@
 
 TEST_CASE("as many vote as the losses that must be borne ask for")
 {
-  CHECK(MostVoters(1, false) == 3);
-  CHECK(MostVoters(2, false) == 5);
-  CHECK(MostVoters(9, false) == 9);
-  CHECK(MostVoters(0, false) == 9); // nothing is said
-  CHECK(MostVoters(1, true) == 9);  // a data centre may go
+  CHECK(MaxVoters(1, false) == 3);
+  CHECK(MaxVoters(2, false) == 5);
+  CHECK(MaxVoters(9, false) == 9);
+  CHECK(MaxVoters(0, false) == 9); // nothing is said
+  CHECK(MaxVoters(1, true) == 9);  // a data centre may go
 }
 
 TEST_CASE("a wiped voter comes back as one that counts")
@@ -200,7 +200,7 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     fake_group group(kNodes, kVoters, seed, kVoters);
-    group.Worker(group.AddWorker("w0")).mSize = Step(1, 1'000).mSize;
+    group.Worker(group.AddWorker("w0")).mTaskSize = Step(1, 1'000).mSize;
     group.Run(seconds(5));
     if (seed % 2 == 0) {
       const std::size_t gone = *group.Leader();
@@ -230,7 +230,7 @@
     }
     CHECK(group.RunUntil([&]() { return group.StateOf(kJob) == "done"; },
                          seconds(12)));
-    CHECK(group.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(group.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
@@ -247,7 +247,7 @@
   CHECK(scene.mGroup.Oracle().Starts() == 4);
   scene.mGroup.Run(seconds(4));
   CHECK(scene.mGroup.Oracle().Starts() > 4);
-  CHECK(scene.mGroup.Oracle().Broken() == std::vector<std::string>{});
+  CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
 }
 
 TEST_CASE("orders carried out seconds late start nothing twice")
@@ -256,7 +256,7 @@
     CAPTURE(seed);
     group_scene scene(seed, 3);
     scene.mGroup.SetLateShare(0.3);
-    scene.mGroup.Worker(1).mFailsFirst = true;
+    scene.mGroup.Worker(1).mFailsFirstAttempts = true;
     scene.mGroup.Submit(kJob, { Step(15, 1'000) });
     scene.mGroup.Run(seconds(10));
     if (const auto leader = scene.mGroup.Leader()) {
@@ -266,7 +266,7 @@
     }
     scene.mGroup.SetLateShare(0);
     CHECK(scene.EndsAs("done", seconds(40)));
-    CHECK(scene.mGroup.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
@@ -279,7 +279,7 @@
   scene.mGroup.Worker(0).Crash(scene.mGroup.Now());
   scene.mGroup.AddWorker("v2");
   CHECK(scene.EndsAs("done", seconds(20)));
-  CHECK(scene.mGroup.Oracle().Broken() == std::vector<std::string>{});
+  CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
 }
 
 TEST_CASE("work starts again soon after a leader is lost")
--- a/testing/flow/interference_control_test.cc
+++ b/testing/flow/interference_control_test.cc
@@ -17,7 +17,7 @@
 const job_id kServes("00");
 const job_id kFills("01");
 
-std::vector<sharing_run>
+std::vector<colocated_run>
 Beside(std::int64_t aTailMs, int aPercent)
 {
   return { { state_builder::Run(kServes, 1), 100, aTailMs, false, 100 },
@@ -28,7 +28,7 @@
 
 TEST_CASE("filling work gives way to a serving task that is harmed")
 {
-  sharing_control control;
+  interference_control control;
   auto changes = control.Decide(1, Beside(90, 100), kStart);
   REQUIRE(changes.size() == 1);
   CHECK(changes[0].mRun.mTask.mJob == kFills);
@@ -43,7 +43,7 @@
 
 TEST_CASE("filling work comes back in steps while there is no harm")
 {
-  sharing_control control;
+  interference_control control;
   int percent = 0;
   int rounds = 0;
   for (time_point now = kStart; percent < 100; now += seconds(1)) {
@@ -62,7 +62,7 @@
 {
   // The tail is 50 ms, and 120 ms more at full pace of what fills; the figure
   // is rough and a look old. Held for 4 s on end over the target is harm.
-  sharing_control control;
+  interference_control control;
   random_source random(7);
   int percent = 100;
   std::int64_t shown = 50;
--- a/testing/flow/plan_fixture.h
+++ b/testing/flow/plan_fixture.h
@@ -14,26 +14,26 @@
 
 namespace oriolewalk::flow::testing {
 
-struct plan_scene
+struct plan_fixture
 {
-  state_builder mMade;
-  advice_book mAdvice;
+  state_builder mBuilder;
+  advice_cache mAdvice;
   std::map<task_ref, worker_number> mProposed;
-  std::set<step_ref> mAsking;
-  std::map<step_ref, std::vector<worker_number>> mNamed;
+  std::set<step_ref> mOpenQueries;
+  std::map<step_ref, std::vector<worker_number>> mQueriedWorkers;
   std::size_t mFreeAdvisors = 8;
   std::size_t mAdvisors = 8;
-  std::map<std::string, std::size_t, std::less<>> mUsed; // by queue
-  std::size_t mFirstPeak = 0;
+  std::map<std::string, std::size_t, std::less<>> mUsedAdvisors; // by queue
+  std::size_t mTopPriorityPeak = 0;
   time_point mNow{ seconds(100) };
   std::int64_t mWallMs = 1'000;
-  yield_records mYields;
-  std::set<step_ref> mNothingToAsk;
+  preemption_records mPreemptionRecords;
+  std::set<step_ref> mNothingToQuery;
   plan_policy mPolicy;
 
-  explicit plan_scene(std::vector<queue_row> aQueues = { Queue("fees", 0),
-                                                         Queue("runs", 2) })
-    : mMade(std::move(aQueues))
+  explicit plan_fixture(std::vector<queue_row> aQueues = { Queue("fees", 0),
+                                                           Queue("runs", 2) })
+    : mBuilder(std::move(aQueues))
   {
   }
 
@@ -42,25 +42,25 @@
   plan_input Input()
   {
     plan_input input;
-    input.mState = &mMade.mState;
+    input.mState = &mBuilder.mState;
     input.mAdvice = &mAdvice;
-    for (const auto& [number, worker] : mMade.mState.Workers()) {
+    for (const auto& [number, worker] : mBuilder.mState.Workers()) {
       plan_worker& planned = input.mWorkers.emplace_back();
       planned.mNumber = number;
-      planned.mFacts = &worker.mFacts;
-      planned.mFree =
-        worker.mFacts.mCapacity - mMade.mState.AmountsAt(number).mBooked;
+      planned.mDescription = &worker.mDescription;
+      planned.mFree = worker.mDescription.mCapacity -
+                      mBuilder.mState.TotalsAt(number).mBooked;
     }
-    input.mNothingToAsk = &mNothingToAsk;
-    input.mYields = mYields;
+    input.mNothingToQuery = &mNothingToQuery;
+    input.mPreemptionRecords = mPreemptionRecords;
     input.mPolicy = mPolicy;
     input.mProposed = &mProposed;
-    input.mAsking = &mAsking;
-    input.mNamed = &mNamed;
+    input.mOpenQueries = &mOpenQueries;
+    input.mQueriedWorkers = &mQueriedWorkers;
     input.mAdvisors.mFree = mFreeAdvisors;
     input.mAdvisors.mTotal = mAdvisors;
-    input.mAdvisors.mUsed = mUsed;
-    input.mAdvisors.mFirstPeak = mFirstPeak;
+    input.mAdvisors.mUsed = mUsedAdvisors;
+    input.mAdvisors.mTopPriorityPeak = mTopPriorityPeak;
     input.mNow = mNow;
     input.mWallMs = mWallMs;
     return input;
@@ -75,12 +75,13 @@
     std::vector<std::pair<worker_number, worker_id>> asked;
     std::vector<approval> approved;
     for (const worker_number number : aWorkers) {
-      const worker_id& id = mMade.mState.FindWorker(number)->mFacts.mId;
+      const worker_id& id =
+        mBuilder.mState.FindWorker(number)->mDescription.mId;
       asked.emplace_back(number, id);
       approved.push_back({ id, "ticket" });
     }
-    mAdvice.Answered({ aJob, 0, 0 },
-                     mMade.mState.FindJob(aJob)->mQueue.mName,
+    mAdvice.OnAnswer({ aJob, 0, 0 },
+                     mBuilder.mState.FindJob(aJob)->mQueue.mName,
                      asked,
                      approved,
                      mNow + aFor);
--- a/testing/flow/plan_timer_test.cc
+++ b/testing/flow/plan_timer_test.cc
@@ -10,11 +10,11 @@
 constexpr time_point kStart{ seconds(100) };
 
 void
-TickEvery(plan_pace& aPace, milliseconds aGap, time_point aUntil)
+TickEvery(plan_timer& aPace, milliseconds aGap, time_point aUntil)
 {
   constexpr int kTicks = 100;
   for (int tick = kTicks; tick >= 0; --tick) {
-    aPace.Ticked(aUntil - tick * aGap);
+    aPace.OnTick(aUntil - tick * aGap);
   }
 }
 
@@ -22,31 +22,33 @@
 
 TEST_CASE("what comes first is planned soon, the rest by the cell's size")
 {
-  plan_pace pace;
+  plan_timer pace;
   TickEvery(pace, milliseconds(10), kStart);
-  pace.Planned(plan_scope::All, 0, kStart);
-  pace.Changed(false);
-  CHECK_FALSE(pace.Due(kWorkers, kStart + milliseconds(40)));
-  CHECK(pace.Due(kWorkers, kStart + milliseconds(47)) == plan_scope::All);
-  pace.Changed(true);
-  CHECK_FALSE(pace.Due(kWorkers, kStart + milliseconds(11)));
-  CHECK(pace.Due(kWorkers, kStart + milliseconds(12)) == plan_scope::First);
-  pace.Planned(plan_scope::First, 0, kStart + milliseconds(12));
-  CHECK_FALSE(pace.Due(kWorkers, kStart + milliseconds(40)));
-  CHECK(pace.Due(kWorkers, kStart + milliseconds(47)) == plan_scope::All);
+  pace.OnPlanned(plan_scope::All, 0, kStart);
+  pace.OnChange(false);
+  CHECK_FALSE(pace.DueScope(kWorkers, kStart + milliseconds(40)));
+  CHECK(pace.DueScope(kWorkers, kStart + milliseconds(47)) == plan_scope::All);
+  pace.OnChange(true);
+  CHECK_FALSE(pace.DueScope(kWorkers, kStart + milliseconds(11)));
+  CHECK(pace.DueScope(kWorkers, kStart + milliseconds(12)) ==
+        plan_scope::TopPriority);
+  pace.OnPlanned(plan_scope::TopPriority, 0, kStart + milliseconds(12));
+  CHECK_FALSE(pace.DueScope(kWorkers, kStart + milliseconds(40)));
+  CHECK(pace.DueScope(kWorkers, kStart + milliseconds(47)) == plan_scope::All);
 }
 
 TEST_CASE("a process whose ticks come late plans less often")
 {
   // Its processor is full: answers of workers, commits and callers wait. Plans
   // as often as before would take what is left, and each would find more to do.
-  plan_pace pace;
+  plan_timer pace;
   TickEvery(pace, milliseconds(35), kStart);
-  pace.Planned(plan_scope::All, 0, kStart);
-  pace.Changed(true);
-  CHECK_FALSE(pace.Due(kWorkers, kStart + milliseconds(30)));
-  CHECK(pace.Due(kWorkers, kStart + milliseconds(40)) == plan_scope::First);
-  CHECK(pace.Due(kWorkers, kStart + milliseconds(145)) == plan_scope::All);
+  pace.OnPlanned(plan_scope::All, 0, kStart);
+  pace.OnChange(true);
+  CHECK_FALSE(pace.DueScope(kWorkers, kStart + milliseconds(30)));
+  CHECK(pace.DueScope(kWorkers, kStart + milliseconds(40)) ==
+        plan_scope::TopPriority);
+  CHECK(pace.DueScope(kWorkers, kStart + milliseconds(145)) == plan_scope::All);
 }
 
 } // namespace oriolewalk::flow
--- a/testing/flow/planner_test.cc
+++ b/testing/flow/planner_test.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-using testing::plan_scene;
+using testing::plan_fixture;
 using testing::Queue;
 using testing::state_builder;
 using testing::Step;
@@ -17,9 +17,9 @@
 
 TEST_CASE("a worker's capacity is never planned beyond")
 {
-  plan_scene scene;
-  scene.mMade.AddWorker(Worker("w", 2'500));
-  scene.mMade.AddJob("00", { Step(5, 1'000) });
+  plan_fixture scene;
+  scene.mBuilder.AddWorker(Worker("w", 2'500));
+  scene.mBuilder.AddJob("00", { Step(5, 1'000) });
   const plan_result plan = scene.Plan();
   CHECK(plan.mStarts.size() == 2);
   CHECK(plan.mWaiting == 3);
@@ -30,11 +30,11 @@
   // Two plans in quick succession: the first one's starts are on their way
   // through the log. A second plan that doesn't count them would put more
   // tasks of the step on a worker than may be there.
-  plan_scene scene;
-  const worker_number worker = scene.mMade.AddWorker(Worker("w"));
+  plan_fixture scene;
+  const worker_number worker = scene.mBuilder.AddWorker(Worker("w"));
   step_spec apart = Step(4, 100);
-  apart.mMostPerWorker = 2;
-  const job_id job = scene.mMade.AddJob("00", { apart });
+  apart.mMaxPerWorker = 2;
+  const job_id job = scene.mBuilder.AddJob("00", { apart });
   CHECK(scene.Plan().mStarts.size() == 2);
   scene.mProposed[{ job, 0, 0, 0 }] = worker;
   scene.mProposed[{ job, 0, 0, 1 }] = worker;
@@ -47,30 +47,30 @@
   // advisors at those, an urgent job waits for one to be free before it can
   // even ask.
   queue_row urgent = Queue("fees", 0);
-  urgent.mAdvice = advice_terms{ 30, 0.4, 2'000 };
+  urgent.mAdvice = advice_timing{ 30, 0.4, 2'000 };
   queue_row other = Queue("runs", 2);
-  other.mAdvice = advice_terms{ 500, 7, 2'000 };
-  plan_scene scene({ urgent, other });
-  scene.mMade.AddWorker(Worker("w"));
+  other.mAdvice = advice_timing{ 500, 7, 2'000 };
+  plan_fixture scene({ urgent, other });
+  scene.mBuilder.AddWorker(Worker("w"));
   for (const char* id : { "01", "02", "03", "04", "05" }) {
-    scene.mMade.AddJob(id, { Step(1, 1'000) }, "runs");
+    scene.mBuilder.AddJob(id, { Step(1, 1'000) }, "runs");
   }
   scene.mAdvisors = 6;
   scene.mFreeAdvisors = 4; // two are kept
-  CHECK(scene.Plan().mQuestions.size() == 2);
+  CHECK(scene.Plan().mQueries.size() == 2);
   scene.mFreeAdvisors = 2;
-  CHECK(scene.Plan().mQuestions.empty());
-  const job_id asks = scene.mMade.AddJob("00", { Step(1, 1'000) });
-  REQUIRE(scene.Plan().mQuestions.size() == 1);
-  CHECK(scene.Plan().mQuestions[0].mStep.mJob == asks);
+  CHECK(scene.Plan().mQueries.empty());
+  const job_id asks = scene.mBuilder.AddJob("00", { Step(1, 1'000) });
+  REQUIRE(scene.Plan().mQueries.size() == 1);
+  CHECK(scene.Plan().mQueries[0].mStep.mJob == asks);
 }
 
 TEST_CASE("the queue that comes first gets the room")
 {
-  plan_scene scene;
-  scene.mMade.AddWorker(Worker("w", 1'000));
-  scene.mMade.AddJob("00", { Step(1, 1'000) }, "runs");
-  const job_id urgent = scene.mMade.AddJob("01", { Step(1, 1'000) }, "fees");
+  plan_fixture scene;
+  scene.mBuilder.AddWorker(Worker("w", 1'000));
+  scene.mBuilder.AddJob("00", { Step(1, 1'000) }, "runs");
+  const job_id urgent = scene.mBuilder.AddJob("01", { Step(1, 1'000) }, "fees");
   const plan_result plan = scene.Plan();
   REQUIRE(plan.mStarts.size() == 1);
   CHECK(plan.mStarts[0].mStart.mRun.mTask.mJob == urgent);
@@ -82,14 +82,14 @@
   // than one plan looks at, and their jobs' ids happen to come first. An urgent
   // job that comes then has room and would never start: its caller sees it
   // queued until its objective is long over, though workers are free.
-  plan_scene scene;
-  scene.mMade.AddWorker(Worker("w", 1'000));
+  plan_fixture scene;
+  scene.mBuilder.AddWorker(Worker("w", 1'000));
   for (int job = 0; job < 50; ++job) {
-    scene.mMade.AddJob((job < 10 ? "0" : "") + std::to_string(job),
-                       { Step(100, 2'000) },
-                       "runs");
+    scene.mBuilder.AddJob((job < 10 ? "0" : "") + std::to_string(job),
+                          { Step(100, 2'000) },
+                          "runs");
   }
-  const job_id urgent = scene.mMade.AddJob("99", { Step(1, 1'000) }, "fees");
+  const job_id urgent = scene.mBuilder.AddJob("99", { Step(1, 1'000) }, "fees");
   const plan_result plan = scene.Plan();
   REQUIRE(plan.mStarts.size() == 1);
   CHECK(plan.mStarts[0].mStart.mRun.mTask.mJob == urgent);
@@ -97,27 +97,27 @@
 
 TEST_CASE("a gang is planned whole or not at all")
 {
-  plan_scene scene;
-  scene.mMade.AddWorker(Worker("w", 2'000));
+  plan_fixture scene;
+  scene.mBuilder.AddWorker(Worker("w", 2'000));
   step_spec gang = Step(3, 1'000);
   gang.mGang = true;
-  scene.mMade.AddJob("00", { gang });
+  scene.mBuilder.AddJob("00", { gang });
   CHECK(scene.Plan().mStarts.empty());
-  scene.mMade.AddWorker(Worker("ww", 1'000));
+  scene.mBuilder.AddWorker(Worker("ww", 1'000));
   const plan_result plan = scene.Plan();
   CHECK(plan.mStarts.size() == 3);
 }
 
 TEST_CASE("a gang's next attempt is above all of its members'")
 {
-  plan_scene scene;
-  const worker_number worker = scene.mMade.AddWorker(Worker("w", 8'000));
+  plan_fixture scene;
+  const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
   step_spec gang = Step(2, 1'000);
   gang.mGang = true;
-  const job_id job = scene.mMade.AddJob("00", { gang });
-  scene.mMade.Start(state_builder::Run(job, 3, 1), worker);
+  const job_id job = scene.mBuilder.AddJob("00", { gang });
+  scene.mBuilder.Start(state_builder::Run(job, 3, 1), worker);
   CHECK(scene.Plan().mStarts.empty()); // a member of the last one is there
-  scene.mMade.End(state_builder::Run(job, 3, 1), worker, run_outcome::Alone);
+  scene.mBuilder.End(state_builder::Run(job, 3, 1), worker, run_outcome::Alone);
   const plan_result plan = scene.Plan();
   REQUIRE(plan.mStarts.size() == 2);
   CHECK(plan.mStarts[0].mStart.mRun.mAttempt == 4);
@@ -126,15 +126,15 @@
 
 TEST_CASE("a step bound to one rack stays in one")
 {
-  plan_scene scene;
-  worker_facts other = Worker("ww", 2'000);
+  plan_fixture scene;
+  worker_description other = Worker("ww", 2'000);
   other.mRack = rack_id("r2");
-  scene.mMade.AddWorker(Worker("w", 1'000));
-  const worker_number there = scene.mMade.AddWorker(other);
+  scene.mBuilder.AddWorker(Worker("w", 1'000));
+  const worker_number there = scene.mBuilder.AddWorker(other);
   step_spec tight = Step(2, 1'000);
   tight.mSameRack = true;
   tight.mGang = true;
-  scene.mMade.AddJob("00", { tight });
+  scene.mBuilder.AddJob("00", { tight });
   const plan_result plan = scene.Plan();
   REQUIRE(plan.mStarts.size() == 2);
   CHECK(plan.mStarts[0].mStart.mWorker == there);
@@ -144,16 +144,16 @@
 TEST_CASE("where the policy must approve, tickets come first")
 {
   queue_row queue = Queue("fees", 0);
-  queue.mAdvice = advice_terms{ 20, 0.3, 2'000 };
-  plan_scene scene({ queue });
-  const worker_number good = scene.mMade.AddWorker(Worker("w"));
-  const worker_number bad = scene.mMade.AddWorker(Worker("ww"));
-  const job_id job = scene.mMade.AddJob("00", { Step(2, 1'000) });
+  queue.mAdvice = advice_timing{ 20, 0.3, 2'000 };
+  plan_fixture scene({ queue });
+  const worker_number good = scene.mBuilder.AddWorker(Worker("w"));
+  const worker_number bad = scene.mBuilder.AddWorker(Worker("ww"));
+  const job_id job = scene.mBuilder.AddJob("00", { Step(2, 1'000) });
   plan_result plan = scene.Plan();
   CHECK(plan.mStarts.empty());
-  REQUIRE(plan.mQuestions.size() == 1);
+  REQUIRE(plan.mQueries.size() == 1);
   const step_ref step{ job, 0, 0 };
-  scene.mAdvice.Answered(step,
+  scene.mAdvice.OnAnswer(step,
                          "fees",
                          { { good, worker_id("w") }, { bad, worker_id("ww") } },
                          { { worker_id("w"), "t1" } },
@@ -166,23 +166,23 @@
   scene.mNow += seconds(3);
   plan = scene.Plan();
   CHECK(plan.mStarts.empty());
-  REQUIRE(plan.mQuestions.size() == 1);
-  CHECK(plan.mQuestions[0].mWorkers == std::vector{ good });
+  REQUIRE(plan.mQueries.size() == 1);
+  CHECK(plan.mQueries[0].mWorkers == std::vector{ good });
 }
 
 TEST_CASE("a step that needs a label goes only where it is")
 {
   // A queue without a policy service: nobody else keeps the step off a worker
   // that lacks the label, so the plan must.
-  plan_scene scene;
-  scene.mMade.AddWorker(Worker("w"));
+  plan_fixture scene;
+  scene.mBuilder.AddWorker(Worker("w"));
   step_spec step = Step(1, 1'000);
   step.mLabel = "b";
-  scene.mMade.AddJob("00", { step });
+  scene.mBuilder.AddJob("00", { step });
   CHECK(scene.Plan().mStarts.empty());
-  worker_facts labelled = Worker("ww");
+  worker_description labelled = Worker("ww");
   labelled.mLabels = { "b" };
-  const worker_number there = scene.mMade.AddWorker(labelled);
+  const worker_number there = scene.mBuilder.AddWorker(labelled);
   const plan_result plan = scene.Plan();
   REQUIRE(plan.mStarts.size() == 1);
   CHECK(plan.mStarts[0].mStart.mWorker == there);
--- a/testing/flow/reservations_test.cc
+++ b/testing/flow/reservations_test.cc
@@ -12,16 +12,16 @@
 
 namespace {
 
-using testing::plan_scene;
+using testing::plan_fixture;
 using testing::Queue;
 using testing::state_builder;
 using testing::Step;
 using testing::Worker;
 
-worker_facts
+worker_description
 Accelerated(const std::string& aId)
 {
-  worker_facts facts = Worker(aId, 64'000);
+  worker_description facts = Worker(aId, 64'000);
   facts.mCapacity = { 64'000, 100'000, 8 };
   return facts;
 }
@@ -37,14 +37,14 @@
 
 // aCount runs of a later queue at aWorker.
 job_id
-Fill(plan_scene& aScene,
+Fill(plan_fixture& aScene,
      const std::string& aId,
      worker_number aWorker,
      const step_spec& aStep)
 {
-  job_id job = aScene.mMade.AddJob(aId, { aStep }, "runs");
+  job_id job = aScene.mBuilder.AddJob(aId, { aStep }, "runs");
   for (std::uint32_t index = 0; index < aStep.mCount; ++index) {
-    aScene.mMade.Start(state_builder::Run(job, 1, index), aWorker);
+    aScene.mBuilder.Start(state_builder::Run(job, 1, index), aWorker);
   }
   return job;
 }
@@ -58,15 +58,15 @@
   // at hand, took the room meanwhile, and was stopped again when the answer
   // came, or the step asked about other workers instead.
   queue_row urgent = Queue("fees", 0);
-  urgent.mAdvice = advice_terms{ 30, 0.4, 2'000 };
-  plan_scene scene({ urgent, Queue("runs", 2) });
-  const worker_number worker = scene.mMade.AddWorker(Worker("w", 1'000));
-  const job_id asks = scene.mMade.AddJob("00", { Step(1, 1'000) }, "fees");
-  scene.mMade.AddJob("01", { Step(1, 1'000) }, "runs");
+  urgent.mAdvice = advice_timing{ 30, 0.4, 2'000 };
+  plan_fixture scene({ urgent, Queue("runs", 2) });
+  const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 1'000));
+  const job_id asks = scene.mBuilder.AddJob("00", { Step(1, 1'000) }, "fees");
+  scene.mBuilder.AddJob("01", { Step(1, 1'000) }, "runs");
   CHECK(scene.Plan().mStarts.size() == 1);
-  scene.mAsking.insert({ asks, 0, 0 });
+  scene.mOpenQueries.insert({ asks, 0, 0 });
   CHECK(scene.Plan().mStarts.size() == 1); // about others
-  scene.mNamed[{ asks, 0, 0 }] = { worker };
+  scene.mQueriedWorkers[{ asks, 0, 0 }] = { worker };
   CHECK(scene.Plan().mStarts.empty());
 }
 
@@ -74,11 +74,11 @@
 {
   // Tasks for one accelerator, then one for eight. Were the small ones spread
   // by free processors, each worker would have some, and none eight free.
-  plan_scene scene;
-  const worker_number first = scene.mMade.AddWorker(Accelerated("w"));
-  scene.mMade.AddWorker(Accelerated("ww"));
+  plan_fixture scene;
+  const worker_number first = scene.mBuilder.AddWorker(Accelerated("w"));
+  scene.mBuilder.AddWorker(Accelerated("ww"));
   Fill(scene, "00", first, WithAccelerators(1, 1));
-  scene.mMade.AddJob("01", { WithAccelerators(3, 1) }, "runs");
+  scene.mBuilder.AddJob("01", { WithAccelerators(3, 1) }, "runs");
   const plan_result plan = scene.Plan();
   REQUIRE(plan.mStarts.size() == 3);
   CHECK(std::ranges::all_of(plan.mStarts, [&](const planned_start& aStart) {
@@ -91,17 +91,17 @@
   // A task for a whole worker waits; half of the worker is free. A later
   // queue's small task would take that half, the next one the other: the large
   // one never finds its room whole.
-  plan_scene scene;
-  const worker_number worker = scene.mMade.AddWorker(Worker("w", 8'000));
+  plan_fixture scene;
+  const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
   step_spec stays = Step(1, 4'000); // no checkpoints: it can't give way
   Fill(scene, "00", worker, stays);
-  scene.mMade.AddJob("01", { Step(1, 8'000) }, "fees");
-  scene.mMade.AddJob("02", { Step(1, 4'000) }, "runs");
+  scene.mBuilder.AddJob("01", { Step(1, 8'000) }, "fees");
+  scene.mBuilder.AddJob("02", { Step(1, 4'000) }, "runs");
   plan_result plan = scene.Plan();
   CHECK(plan.mStarts.empty());
-  CHECK(plan.mHeld.mMilliProcessors >= 8'000);
-  CHECK(plan.mStops.empty());
-  scene.mPolicy.mHolds = false;
+  CHECK(plan.mReserved.mMilliProcessors >= 8'000);
+  CHECK(plan.mPreemptions.empty());
+  scene.mPolicy.mReservesCapacity = false;
   plan = scene.Plan();
   CHECK(plan.mStarts.size() == 1);
 }
@@ -110,23 +110,23 @@
 {
   // An urgent task arrives while a later queue holds the only worker. Without
   // preemption it waits for as long as those tasks run.
-  plan_scene scene;
-  const worker_number worker = scene.mMade.AddWorker(Worker("w", 8'000));
+  plan_fixture scene;
+  const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
   step_spec saves = Step(2, 4'000);
   saves.mCheckpoints = true;
   const job_id later = Fill(scene, "00", worker, saves);
-  const job_id urgent = scene.mMade.AddJob("01", { Step(1, 4'000) }, "fees");
+  const job_id urgent = scene.mBuilder.AddJob("01", { Step(1, 4'000) }, "fees");
   const plan_result plan = scene.Plan();
-  REQUIRE(plan.mStops.size() == 1); // one of the two is enough
-  CHECK(plan.mStops[0].mRun.mRun.mTask.mJob == later);
-  CHECK(plan.mStops[0].mRun.mWorker == worker);
-  CHECK(plan.mStops[0].mFor.mJob == urgent);
+  REQUIRE(plan.mPreemptions.size() == 1); // one of the two is enough
+  CHECK(plan.mPreemptions[0].mRun.mRun.mTask.mJob == later);
+  CHECK(plan.mPreemptions[0].mRun.mWorker == worker);
+  CHECK(plan.mPreemptions[0].mPreemptor.mJob == urgent);
 }
 
 TEST_CASE("what would lose its work, break a gang or end a service stays")
 {
-  plan_scene scene;
-  const worker_number worker = scene.mMade.AddWorker(Worker("w", 8'000));
+  plan_fixture scene;
+  const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
   step_spec saves = Step(1, 8'000);
   saves.mCheckpoints = true;
   SECTION("it saves no checkpoints")
@@ -139,47 +139,47 @@
   }
   SECTION("it lasts")
   {
-    saves.mLasting = true;
+    saves.mLongRunning = true;
   }
   SECTION("it gave way twice already")
   {
-    scene.mYields[{ job_id("00"), 0, 0, 0 }] = { 2, false };
+    scene.mPreemptionRecords[{ job_id("00"), 0, 0, 0 }] = { 2, false };
   }
   SECTION("it is giving way")
   {
-    scene.mYields[{ job_id("00"), 0, 0, 0 }] = { 1, true };
+    scene.mPreemptionRecords[{ job_id("00"), 0, 0, 0 }] = { 1, true };
   }
   Fill(scene, "00", worker, saves);
-  scene.mMade.AddJob("01", { Step(1, 8'000) }, "fees");
-  CHECK(scene.Plan().mStops.empty());
+  scene.mBuilder.AddJob("01", { Step(1, 8'000) }, "fees");
+  CHECK(scene.Plan().mPreemptions.empty());
 }
 
 TEST_CASE("nothing gives way to its own queue or a later one")
 {
-  plan_scene scene;
-  const worker_number worker = scene.mMade.AddWorker(Worker("w", 8'000));
+  plan_fixture scene;
+  const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
   step_spec saves = Step(1, 8'000);
   saves.mCheckpoints = true;
   Fill(scene, "00", worker, saves);
-  scene.mMade.AddJob("01", { Step(1, 8'000) }, "runs");
-  CHECK(scene.Plan().mStops.empty());
+  scene.mBuilder.AddJob("01", { Step(1, 8'000) }, "runs");
+  CHECK(scene.Plan().mPreemptions.empty());
 }
 
 TEST_CASE("nothing is stopped for a gang that stays short of a place")
 {
   // Two members need a worker each; only one worker can be made free. To stop
   // what runs there would lose it for nothing.
-  plan_scene scene;
-  const worker_number worker = scene.mMade.AddWorker(Worker("w", 8'000));
+  plan_fixture scene;
+  const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
   step_spec saves = Step(1, 8'000);
   saves.mCheckpoints = true;
   Fill(scene, "00", worker, saves);
   step_spec gang = Step(2, 8'000);
   gang.mGang = true;
-  scene.mMade.AddJob("01", { gang }, "fees");
-  CHECK(scene.Plan().mStops.empty());
-  scene.mMade.AddWorker(Worker("ww", 8'000));
-  CHECK(scene.Plan().mStops.size() == 1);
+  scene.mBuilder.AddJob("01", { gang }, "fees");
+  CHECK(scene.Plan().mPreemptions.empty());
+  scene.mBuilder.AddWorker(Worker("ww", 8'000));
+  CHECK(scene.Plan().mPreemptions.size() == 1);
 }
 
 TEST_CASE("room is kept only for what can get a ticket there")
@@ -187,11 +187,11 @@
   // Every advisor is busy and the ticket has run out: nothing can start in the
   // room that would be kept, while a later queue could use it.
   queue_row first = Queue("fees", 0);
-  first.mAdvice = advice_terms{ 500, 6, 2'000 };
-  plan_scene scene({ first, Queue("runs", 2) });
-  const worker_number worker = scene.mMade.AddWorker(Worker("w", 8'000));
-  const job_id waits = scene.mMade.AddJob("01", { Step(1, 8'000) }, "fees");
-  scene.mMade.AddJob("02", { Step(1, 4'000) }, "runs");
+  first.mAdvice = advice_timing{ 500, 6, 2'000 };
+  plan_fixture scene({ first, Queue("runs", 2) });
+  const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
+  const job_id waits = scene.mBuilder.AddJob("01", { Step(1, 8'000) }, "fees");
+  scene.mBuilder.AddJob("02", { Step(1, 4'000) }, "runs");
   scene.Approve(waits, { worker });
   scene.mNow += seconds(3);
   scene.mFreeAdvisors = 0;
@@ -199,7 +199,7 @@
   scene.mFreeAdvisors = 1;
   const plan_result plan = scene.Plan();
   CHECK(plan.mStarts.empty()); // kept: the ticket is asked for
-  CHECK(plan.mQuestions.size() == 1);
+  CHECK(plan.mQueries.size() == 1);
 }
 
 } // namespace oriolewalk::flow
--- a/testing/flow/restarted_worker_test.cc
+++ b/testing/flow/restarted_worker_test.cc
@@ -26,7 +26,7 @@
 OrdersTo(const char* aWorker)
 {
   return [aWorker](const worker_order& aOrder) {
-    return aOrder.mLife.Value() == aWorker &&
+    return aOrder.mWorkerId.Value() == aWorker &&
            std::holds_alternative<Body>(aOrder.mBody);
   };
 }
@@ -34,7 +34,7 @@
 bool
 NamesCursor(const worker_order& aOrder)
 {
-  const auto* hold = std::get_if<hold_order>(&aOrder.mBody);
+  const auto* hold = std::get_if<poll_order>(&aOrder.mBody);
   return hold != nullptr && hold->mCursor > 0;
 }
 
@@ -47,8 +47,8 @@
     : mGroup(3, 3, aSeed)
   {
     mGroup.AddWorker("w", 0.02);
-    mGroup.Worker(0).mSize = Step(1, 500).mSize;
-    mGroup.Worker(0).mForgetsOnRise = aForgetsOnRise;
+    mGroup.Worker(0).mTaskSize = Step(1, 500).mSize;
+    mGroup.Worker(0).mForgetsOnHigherCursor = aForgetsOnRise;
     mGroup.Run(seconds(2));
     mGroup.Submit(kBefore, { Step(12, 500) });
     CHECK(EndsAsDone(kBefore, seconds(10)));
@@ -67,7 +67,7 @@
     mGroup.Submit(kAfter, { Step(4, 500) });
     CHECK(EndsAsDone(kAfter, seconds(6)));
     CHECK(mGroup.Oracle().Starts() == before + 4);
-    CHECK(mGroup.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
 };
 
@@ -111,7 +111,7 @@
     scene.mGroup.RestartWorker(0);
     CHECK(scene.EndsAsDone(kAfter, milliseconds(1'200)));
     CHECK(scene.mGroup.Oracle().Starts() == 20);
-    CHECK(scene.mGroup.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
@@ -137,21 +137,23 @@
   // and arrive when the next one has work. Taken for its own, the heartbeat
   // would empty it, and the farewell would start its tasks a second time.
   worked_scene scene(1, false);
-  const worker_facts earlier = scene.mGroup.Worker(0).Facts();
+  const worker_description earlier = scene.mGroup.Worker(0).Description();
   scene.mGroup.RestartWorker(0);
   scene.mGroup.Run(milliseconds(100));
   scene.mGroup.Worker(0).mWorkTime = seconds(2);
   const std::size_t before = scene.mGroup.Oracle().Starts();
   scene.mGroup.Submit(kAfter, { Step(4, 500) });
   scene.mGroup.Run(milliseconds(300));
-  scene.mGroup.Ask(worker_beat{ earlier, true, 0, 1'000, 900 });
-  scene.mGroup.Ask(worker_farewell{ earlier.mId, earlier.mBornMs });
-  scene.mGroup.Ask(worker_farewell{ earlier.mId, 0 }); // it doesn't say whose
+  scene.mGroup.SendRequest(worker_heartbeat{ earlier, true, 0, 1'000, 900 });
+  scene.mGroup.SendRequest(
+    worker_deregistration{ earlier.mId, earlier.mProcessStartMs });
+  scene.mGroup.SendRequest(
+    worker_deregistration{ earlier.mId, 0 }); // it doesn't say whose
   CHECK(scene.EndsAsDone(kAfter, seconds(4)));
   CHECK(scene.mGroup.Oracle().Starts() == before + 4);
-  CHECK(scene.mGroup.Oracle().Broken() == std::vector<std::string>{});
+  CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
   // Its own count, and a farewell that doesn't say whose of one that drains.
-  const worker_facts own = scene.mGroup.Worker(0).Facts();
+  const worker_description own = scene.mGroup.Worker(0).Description();
   const auto isKnown = [&]() {
     return scene.mGroup.Core(*scene.mGroup.Leader())
              .State()
@@ -160,7 +162,7 @@
   CHECK(isKnown());
   scene.mGroup.Worker(0).mDraining = true;
   scene.mGroup.Run(seconds(2));
-  scene.mGroup.Ask(worker_farewell{ own.mId, 0 });
+  scene.mGroup.SendRequest(worker_deregistration{ own.mId, 0 });
   CHECK_FALSE(isKnown());
 }
 
@@ -173,7 +175,7 @@
     CAPTURE(seed);
     fake_group group(3, 3, seed);
     for (const char* id : { "w0", "w1" }) {
-      group.Worker(group.AddWorker(id, 0.02)).mSize = Step(1, 500).mSize;
+      group.Worker(group.AddWorker(id, 0.02)).mTaskSize = Step(1, 500).mSize;
     }
     group.Run(seconds(2));
     group.SetOrderDelay(milliseconds(300));
@@ -182,7 +184,7 @@
     group.RestartWorker(0, milliseconds(50 * (seed % 7)));
     CHECK(group.RunUntil([&]() { return group.StateOf(kAfter) == "done"; },
                          seconds(15)));
-    CHECK(group.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(group.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
@@ -205,7 +207,7 @@
       scene.mGroup.ReleaseOrders();
       CHECK(scene.EndsAsDone(kAfter, seconds(6)));
       CHECK(scene.mGroup.Oracle().Starts() == before + 4);
-      CHECK(scene.mGroup.Oracle().Broken() == std::vector<std::string>{});
+      CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
     }
   }
 }
@@ -221,13 +223,13 @@
     scene.mGroup.Run(seconds(8));
     scene.mGroup.Worker(0).mWorkTime = milliseconds(5'500);
     scene.mGroup.RestartWorker(0, seconds(30));
-    scene.mGroup.HoldOrders(OrdersTo<hold_order>("w"));
+    scene.mGroup.HoldOrders(OrdersTo<poll_order>("w"));
     scene.mGroup.Submit(kAfter, { Step(1, 500) });
     scene.mGroup.Run(milliseconds(100));
     scene.mGroup.CutWorker(0, true);
     scene.mGroup.AddWorker("w1", 0.02);
     CHECK(scene.EndsAsDone(kAfter, seconds(15)));
-    CHECK(scene.mGroup.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
@@ -239,7 +241,7 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
     flow_options options;
-    options.mWorkersAlone = 0;
+    options.mMaxWorkersWithoutRelays = 0;
     fake_group group(3, 3, seed, 9, options);
     group.AddWorker("w0", 0.02);
     group.Run(seconds(2));
@@ -255,7 +257,7 @@
     group.ReleaseOrders();
     CHECK(group.RunUntil([&]() { return group.StateOf(kAfter) == "done"; },
                          seconds(15)));
-    CHECK(group.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(group.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
@@ -266,12 +268,12 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
     flow_options options;
-    options.mWorkersAlone = 0;
+    options.mMaxWorkersWithoutRelays = 0;
     fake_group group(3, 3, seed, 9, options);
     group.AddWorker("w0", 0.02);
     group.Run(seconds(2));
     group.HoldOrders([](const worker_order& aOrder) {
-      return !std::holds_alternative<hold_order>(aOrder.mBody);
+      return !std::holds_alternative<poll_order>(aOrder.mBody);
     });
     group.Submit(kAfter, { Step(1, 500) });
     group.Run(milliseconds(1'500));
@@ -279,7 +281,7 @@
     group.ReleaseOrders();
     CHECK(group.RunUntil([&]() { return group.StateOf(kAfter) == "done"; },
                          seconds(8)));
-    CHECK(group.Oracle().Broken() == std::vector<std::string>{});
+    CHECK(group.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
--- a/testing/flow/shrinking_worker_test.cc
+++ b/testing/flow/shrinking_worker_test.cc
@@ -16,15 +16,15 @@
 struct shrinking_scene
 {
   fake_group mGroup;
-  worker_facts mLarge; // as it was
+  worker_description mLarge; // as it was
 
   explicit shrinking_scene(std::uint64_t aSeed)
     : mGroup(3, 3, aSeed)
   {
     mGroup.AddWorker("w");
-    mGroup.Worker(0).mSize = Step(1, 2'000).mSize;
+    mGroup.Worker(0).mTaskSize = Step(1, 2'000).mSize;
     mGroup.Worker(0).mWorkTime = seconds(20);
-    mLarge = mGroup.Worker(0).Facts();
+    mLarge = mGroup.Worker(0).Description();
     mGroup.Run(seconds(2));
   }
 
@@ -39,7 +39,7 @@
   {
     const flow_state& state = mGroup.Core(*mGroup.Leader()).State();
     return state.FindWorker(state.NumberOf(mLarge.mId))
-      ->mFacts.mCapacity.mMilliProcessors;
+      ->mDescription.mCapacity.mMilliProcessors;
   }
 };
 
@@ -55,10 +55,11 @@
     scene.Shrink();
     scene.mGroup.Run(seconds(6));
     CHECK(scene.KnownRoom() == 2'000);
-    scene.mGroup.Ask(worker_beat{ scene.mLarge, false, 0, 1'000, 1 });
+    scene.mGroup.SendRequest(
+      worker_heartbeat{ scene.mLarge, false, 0, 1'000, 1 });
     scene.mGroup.Submit("0000000000000001", { Step(4, 2'000) });
     scene.mGroup.Run(milliseconds(500));
-    CHECK(scene.mGroup.Oracle().Broken().empty());
+    CHECK(scene.mGroup.Oracle().Violations().empty());
     CHECK(scene.mGroup.Oracle().Starts() == 1);
   }
 }
@@ -75,10 +76,11 @@
     scene.mGroup.Kill(leader);
     CHECK(scene.mGroup.RunUntil(
       [&]() { return scene.mGroup.Leader().has_value(); }, seconds(5)));
-    scene.mGroup.Ask(worker_beat{ scene.mLarge, false, 0, 1'000, 1 });
+    scene.mGroup.SendRequest(
+      worker_heartbeat{ scene.mLarge, false, 0, 1'000, 1 });
     scene.mGroup.Submit("0000000000000001", { Step(4, 2'000) });
     scene.mGroup.Run(seconds(2));
-    CHECK(scene.mGroup.Oracle().Broken().empty());
+    CHECK(scene.mGroup.Oracle().Violations().empty());
     CHECK(scene.mGroup.Oracle().Starts() == 1);
   }
 }
@@ -96,7 +98,7 @@
                                        scene.mGroup.Now());
     scene.mGroup.Run(seconds(2));
     CHECK(scene.mGroup.Oracle().Starts() == 4);
-    CHECK(scene.mGroup.Oracle().Broken().empty());
+    CHECK(scene.mGroup.Oracle().Violations().empty());
   }
 }
 
--- a/testing/flow/worker_health_test.cc
+++ b/testing/flow/worker_health_test.cc
@@ -18,66 +18,67 @@
 {
   // It fails everything at once, looks free, and would draw every retry.
   worker_health health;
-  health.Ended(1, run_outcome::Failed, kStart);
+  health.OnRunEnded(1, run_outcome::Failed, kStart);
   CHECK_FALSE(
-    health.StandingOf(1, kStart).mAvoided); // tasks fail by themselves too
-  health.Ended(1, run_outcome::Failed, kStart);
-  CHECK(health.StandingOf(1, kStart).mAvoided);
-  CHECK_FALSE(health.StandingOf(2, kStart).mAvoided);
-  CHECK_FALSE(health.StandingOf(1, kStart + seconds(10)).mAvoided);
+    health.Standing(1, kStart).mAvoided); // tasks fail by themselves too
+  health.OnRunEnded(1, run_outcome::Failed, kStart);
+  CHECK(health.Standing(1, kStart).mAvoided);
+  CHECK_FALSE(health.Standing(2, kStart).mAvoided);
+  CHECK_FALSE(health.Standing(1, kStart + seconds(10)).mAvoided);
   // Tried again and still bad: at once, and for longer.
-  health.Ended(1, run_outcome::Failed, kStart + seconds(10));
-  CHECK(health.StandingOf(1, kStart + seconds(12)).mAvoided);
-  health.Ended(1, run_outcome::Done, kStart + seconds(20));
-  health.Ended(1, run_outcome::Failed, kStart + seconds(21));
-  CHECK_FALSE(health.StandingOf(1, kStart + seconds(21)).mAvoided);
+  health.OnRunEnded(1, run_outcome::Failed, kStart + seconds(10));
+  CHECK(health.Standing(1, kStart + seconds(12)).mAvoided);
+  health.OnRunEnded(1, run_outcome::Done, kStart + seconds(20));
+  health.OnRunEnded(1, run_outcome::Failed, kStart + seconds(21));
+  CHECK_FALSE(health.Standing(1, kStart + seconds(21)).mAvoided);
 }
 
 TEST_CASE("speed is learnt within bounds")
 {
   worker_health health;
   for (int end = 0; end < 50; ++end) {
-    health.Took(1, 0.8);
-    health.Took(2, 100);
+    health.OnTaskTime(1, 0.8);
+    health.OnTaskTime(2, 100);
   }
-  CHECK(health.StandingOf(1, kStart).mSpeed == Approx(1.25).margin(0.01));
-  CHECK(health.StandingOf(2, kStart).mSpeed == Approx(0.2).margin(0.01));
-  CHECK(health.StandingOf(3, kStart).mSpeed == 1);
+  CHECK(health.Standing(1, kStart).mSpeed == Approx(1.25).margin(0.01));
+  CHECK(health.Standing(2, kStart).mSpeed == Approx(0.2).margin(0.01));
+  CHECK(health.Standing(3, kStart).mSpeed == 1);
 }
 
 TEST_CASE("a run far behind its siblings is taken back, and only so often")
 {
   // Tasks stand still on one worker while their siblings are done long ago:
   // the step, and the job's caller, would wait for them.
-  straggler_watch watch;
+  straggler_detector watch;
   const job_id job("00");
   const run_ref quick = state_builder::Run(job, 1, 0);
   const run_ref slow = state_builder::Run(job, 1, 1);
-  watch.Began(quick, kStart);
-  watch.Began(slow, kStart);
-  CHECK_FALSE(watch.IsStraggler(slow, kStart + seconds(60))); // no sibling yet
-  CHECK_FALSE(watch.Ended(quick, run_outcome::Done, kStart + seconds(1)));
-  CHECK_FALSE(watch.IsStraggler(slow, kStart + seconds(4)));
-  CHECK(watch.IsStraggler(slow, kStart + seconds(6)));
+  watch.OnRunStarted(quick, kStart);
+  watch.OnRunStarted(slow, kStart);
+  CHECK_FALSE(
+    watch.MarkIfStraggler(slow, kStart + seconds(60))); // no sibling yet
+  CHECK_FALSE(watch.OnRunEnded(quick, run_outcome::Done, kStart + seconds(1)));
+  CHECK_FALSE(watch.MarkIfStraggler(slow, kStart + seconds(4)));
+  CHECK(watch.MarkIfStraggler(slow, kStart + seconds(6)));
   for (attempt_t attempt = 2; attempt <= 4; ++attempt) {
     const run_ref again = state_builder::Run(job, attempt, 1);
-    watch.Began(again, kStart);
-    CHECK(watch.IsStraggler(again, kStart + seconds(30)) == (attempt == 2));
+    watch.OnRunStarted(again, kStart);
+    CHECK(watch.MarkIfStraggler(again, kStart + seconds(30)) == (attempt == 2));
   }
 }
 
 TEST_CASE("how long a run took is compared with its siblings")
 {
-  straggler_watch watch;
+  straggler_detector watch;
   const job_id job("00");
   for (std::uint32_t index = 0; index < 3; ++index) {
-    watch.Began(state_builder::Run(job, 1, index), kStart);
+    watch.OnRunStarted(state_builder::Run(job, 1, index), kStart);
   }
-  CHECK_FALSE(watch.Ended(
+  CHECK_FALSE(watch.OnRunEnded(
     state_builder::Run(job, 1, 0), run_outcome::Done, kStart + seconds(1)));
-  CHECK_FALSE(watch.Ended(
+  CHECK_FALSE(watch.OnRunEnded(
     state_builder::Run(job, 1, 1), run_outcome::Failed, kStart + seconds(1)));
-  const auto ratio = watch.Ended(
+  const auto ratio = watch.OnRunEnded(
     state_builder::Run(job, 1, 2), run_outcome::Done, kStart + seconds(2));
   REQUIRE(ratio);
   CHECK(*ratio == Approx(2));
--- a/testing/flow/worker_supervisor_test.cc
+++ b/testing/flow/worker_supervisor_test.cc
@@ -28,7 +28,7 @@
   job_id mJob = mMade.AddJob("00", { Step(4, 1'000) });
   flow_options mOptions;
   time_point mNow{ seconds(100) };
-  worker_keeper mKeeper{ mMade.mState, mOptions, 7, mNow, mNow };
+  worker_supervisor mKeeper{ mMade.mState, mOptions, 7, mNow, mNow };
   std::vector<worker_order> mSeen;
   std::vector<command_body> mCommands;
 
@@ -71,7 +71,7 @@
   void Answer(const worker_order& aOrder, order_answer aAnswer)
   {
     aAnswer.mClockMs = 5'000;
-    mKeeper.Answered(aOrder.mId, aAnswer, mNow);
+    mKeeper.OnAnswer(aOrder.mId, aAnswer, mNow);
     Take();
   }
 
@@ -95,7 +95,7 @@
   void Sync()
   {
     Advance(milliseconds(10));
-    Answer(*Next<hold_order>(), Showing({}));
+    Answer(*Next<poll_order>(), Showing({}));
     mCommands.clear();
   }
 
@@ -103,7 +103,7 @@
   {
     run_ref run = state_builder::Run(mJob, 1, aIndex);
     mMade.Start(run, mWorker);
-    mKeeper.Begin({ run, mWorker }, "ticket", mNow);
+    mKeeper.OnStartCommitted({ run, mWorker }, "ticket", mNow);
     return run;
   }
 
@@ -120,7 +120,7 @@
   {
     return std::ranges::any_of(mCommands, [&](const command_body& aBody) {
       const auto* drop = std::get_if<drop_runs>(&aBody);
-      const auto* lost = std::get_if<lose_runs>(&aBody);
+      const auto* lost = std::get_if<mark_runs_lost>(&aBody);
       return (drop != nullptr && std::ranges::count(drop->mRuns, aRun) > 0) ||
              (lost != nullptr && std::ranges::count(lost->mRuns, aRun) > 0);
     });
@@ -138,17 +138,17 @@
   const run_ref run = scene.BeginRunning();
   order_answer shown = keeper_scene::Showing({ run });
   shown.mRunning[0].mCheckpoint = "half";
-  scene.Answer(*scene.Next<hold_order>(), shown);
+  scene.Answer(*scene.Next<poll_order>(), shown);
   scene.Advance(milliseconds(10));
   scene.mCommands.clear();
-  scene.Answer(*scene.Next<hold_order>(),
-               keeper_scene::With(order_result::OtherLife));
+  scene.Answer(*scene.Next<poll_order>(),
+               keeper_scene::With(order_result::OtherIncarnation));
   REQUIRE(scene.mCommands.size() == 3);
-  const auto& keep = std::get<keep_checkpoints>(scene.mCommands[0]);
+  const auto& keep = std::get<save_checkpoints>(scene.mCommands[0]);
   REQUIRE(keep.mRuns.size() == 1);
   CHECK(keep.mRuns[0].mRun == run);
   CHECK(keep.mRuns[0].mCheckpoint == "half");
-  CHECK(std::holds_alternative<note_crash>(scene.mCommands[1]));
+  CHECK(std::holds_alternative<record_worker_crash>(scene.mCommands[1]));
   CHECK(std::holds_alternative<remove_worker>(scene.mCommands[2]));
 }
 
@@ -159,12 +159,12 @@
   scene.Sync();
   const run_ref run = scene.BeginRunning();
   scene.Advance(milliseconds(500));
-  scene.Answer(*scene.Next<hold_order>(), keeper_scene::Showing({ run }));
+  scene.Answer(*scene.Next<poll_order>(), keeper_scene::Showing({ run }));
   scene.Advance(milliseconds(20));
-  scene.mKeeper.TakeNotes();
-  scene.Answer(*scene.Next<hold_order>(),
-               keeper_scene::With(order_result::OtherLife));
-  const std::vector<decision> notes = scene.mKeeper.TakeNotes();
+  scene.mKeeper.TakeDecisions();
+  scene.Answer(*scene.Next<poll_order>(),
+               keeper_scene::With(order_result::OtherIncarnation));
+  const std::vector<decision> notes = scene.mKeeper.TakeDecisions();
   REQUIRE(notes.size() == 2);
   CHECK(notes[0].mEvent == "worker.over");
   const auto& over = notes[0].mFields;
@@ -186,14 +186,14 @@
   // and be started a second time elsewhere.
   keeper_scene scene;
   scene.Advance(milliseconds(10));
-  const worker_order earlier = *scene.Next<hold_order>();
+  const worker_order earlier = *scene.Next<poll_order>();
   const run_ref run = state_builder::Run(scene.mJob, 1);
   scene.mMade.Start(run, scene.mWorker);
-  worker_keeper next(
+  worker_supervisor next(
     scene.mMade.mState, scene.mOptions, 9, scene.mNow, scene.mNow);
   next.Tick(scene.mNow);
   REQUIRE(next.TakeOrders().size() == 1);
-  next.Answered(earlier.mId, keeper_scene::Showing({}), scene.mNow);
+  next.OnAnswer(earlier.mId, keeper_scene::Showing({}), scene.mNow);
   CHECK(next.TakeCommands().empty());
   CHECK_FALSE(next.IsUsable(scene.mWorker, scene.mNow));
 }
@@ -208,12 +208,12 @@
   const run_ref run = scene.Begin();
   scene.Advance(milliseconds(10));
   const worker_order start = *scene.Next<start_order>();
-  const worker_order look = *scene.Next<hold_order>();
+  const worker_order look = *scene.Next<poll_order>();
   scene.Answer(start, keeper_scene::With(order_result::Done));
   scene.Answer(look, keeper_scene::Showing({}));
   CHECK_FALSE(scene.IsDropped(run));
   scene.Advance(milliseconds(10));
-  scene.Answer(*scene.Next<hold_order>(), keeper_scene::Showing({}));
+  scene.Answer(*scene.Next<poll_order>(), keeper_scene::Showing({}));
   CHECK(scene.IsDropped(run));
 }
 
@@ -227,26 +227,26 @@
   const run_ref run = scene.Begin();
   scene.Answer(*scene.Next<start_order>(),
                keeper_scene::With(order_result::NoAnswer));
-  scene.Advance(scene.mOptions.mTakeBack + milliseconds(20));
-  const worker_order look = *scene.Next<hold_order>();
+  scene.Advance(scene.mOptions.mStartTimeout + milliseconds(20));
+  const worker_order look = *scene.Next<poll_order>();
   scene.Answer(look, keeper_scene::Showing({}));
   CHECK_FALSE(scene.IsDropped(run));
   const auto stop = scene.Next<stop_order>();
   REQUIRE(stop);
   scene.Answer(*stop, keeper_scene::With(order_result::NoAnswer));
-  scene.Advance(scene.mOptions.mStopAgain + milliseconds(20));
+  scene.Advance(scene.mOptions.mStopRetryDelay + milliseconds(20));
   const auto again = scene.Next<stop_order>();
   REQUIRE(again);
   scene.Answer(*again, keeper_scene::With(order_result::Done));
   CHECK_FALSE(scene.IsDropped(run));
   scene.Advance(milliseconds(20));
-  for (auto next = scene.Next<hold_order>(); next;
-       next = scene.Next<hold_order>()) {
+  for (auto next = scene.Next<poll_order>(); next;
+       next = scene.Next<poll_order>()) {
     scene.Answer(*next, keeper_scene::Showing({}));
   }
   scene.Advance(milliseconds(20));
-  for (auto next = scene.Next<hold_order>(); next;
-       next = scene.Next<hold_order>()) {
+  for (auto next = scene.Next<poll_order>(); next;
+       next = scene.Next<poll_order>()) {
     scene.Answer(*next, keeper_scene::Showing({}));
   }
   CHECK(scene.IsDropped(run));
@@ -260,11 +260,11 @@
   scene.Answer(*scene.Next<start_order>(),
                keeper_scene::With(order_result::NoAnswer));
   scene.Advance(milliseconds(10));
-  scene.Answer(*scene.Next<hold_order>(), keeper_scene::Showing({ run }));
-  scene.Advance(scene.mOptions.mTakeBack + milliseconds(20));
+  scene.Answer(*scene.Next<poll_order>(), keeper_scene::Showing({ run }));
+  scene.Advance(scene.mOptions.mStartTimeout + milliseconds(20));
   CHECK_FALSE(scene.Next<stop_order>());
   // And if a later look doesn't show it, it is over.
-  scene.Answer(*scene.Next<hold_order>(), keeper_scene::Showing({}));
+  scene.Answer(*scene.Next<poll_order>(), keeper_scene::Showing({}));
   CHECK(scene.IsDropped(run));
 }
 
@@ -276,7 +276,7 @@
   scene.Answer(*scene.Next<start_order>(),
                keeper_scene::With(order_result::TicketInvalid));
   CHECK(scene.IsDropped(run));
-  CHECK(scene.mKeeper.TakeTicketsRefused().size() == 1);
+  CHECK(scene.mKeeper.TakeTicketRefusals().size() == 1);
 }
 
 TEST_CASE("work on a worker that can't be reached waits for the lapse")
@@ -288,13 +288,13 @@
   scene.Sync();
   scene.Advance(seconds(7)); // whatever an earlier leader gave is over
   const run_ref run = scene.BeginRunning();
-  const worker_order first = *scene.Next<hold_order>();
+  const worker_order first = *scene.Next<poll_order>();
   CHECK(first.mLeaseClockMs);
   const time_point given = scene.mNow;
   scene.Answer(first, keeper_scene::With(order_result::NoAnswer));
   while (scene.mNow < given + scene.mOptions.mLease * 1.02) {
     scene.Advance(milliseconds(50));
-    while (const auto look = scene.Next<hold_order>()) {
+    while (const auto look = scene.Next<poll_order>()) {
       CHECK_FALSE(look->mLeaseClockMs);
       scene.Answer(*look, keeper_scene::With(order_result::NoAnswer));
     }
@@ -325,28 +325,28 @@
   const run_ref run = scene.BeginRunning();
   const milliseconds tick(late ? 400 : 10);
   const milliseconds bound =
-    scene.mOptions.mAnswerBound + scene.mOptions.mLookWait;
+    scene.mOptions.mAnswerMargin + scene.mOptions.mLongPollWait;
   std::int64_t beat = 0;
   for (int looks = 0; looks < 8 && !scene.IsDropped(run); ++looks) {
-    const auto look = scene.Next<hold_order>();
+    const auto look = scene.Next<poll_order>();
     for (const time_point until = scene.mNow + bound; scene.mNow < until;) {
       scene.mNow += tick;
       scene.mKeeper.Tick(scene.mNow);
       scene.Take();
     }
     if (heard == heartbeats::DuringLooks) {
-      scene.mKeeper.Heard(scene.mWorker, ++beat, 5'000, scene.mNow);
+      scene.mKeeper.OnHeartbeat(scene.mWorker, ++beat, 5'000, scene.mNow);
     }
     if (look) {
       scene.Answer(*look, keeper_scene::With(order_result::NoAnswer));
     }
     if (heard == heartbeats::BetweenLooks) {
-      scene.mKeeper.Heard(scene.mWorker, ++beat, 5'000, scene.mNow);
+      scene.mKeeper.OnHeartbeat(scene.mWorker, ++beat, 5'000, scene.mNow);
     }
   }
   CHECK(scene.IsDropped(run) == (!late || heard == heartbeats::None));
   if (late && heard == heartbeats::DuringLooks) {
-    const auto look = scene.Next<hold_order>();
+    const auto look = scene.Next<poll_order>();
     REQUIRE(look);
     CHECK(look->mLeaseClockMs);
   }
@@ -361,14 +361,14 @@
   const run_ref never = state_builder::Run(scene.mJob, 1, 1);
   scene.mMade.Start(runs, scene.mWorker);
   scene.mMade.Start(never, scene.mWorker);
-  worker_keeper next(
+  worker_supervisor next(
     scene.mMade.mState, scene.mOptions, 8, scene.mNow, scene.mNow);
   next.Tick(scene.mNow);
   const auto orders = next.TakeOrders();
   REQUIRE(orders.size() == 1);
   CHECK(orders[0].mFence == FenceOf(8, scene.mWorker));
   CHECK_FALSE(next.IsUsable(scene.mWorker, scene.mNow));
-  next.Answered(orders[0].mId, keeper_scene::Showing({ runs }), scene.mNow);
+  next.OnAnswer(orders[0].mId, keeper_scene::Showing({ runs }), scene.mNow);
   const auto commands = next.TakeCommands();
   REQUIRE(commands.size() == 1);
   CHECK(std::get<drop_runs>(commands[0]).mRuns == std::vector{ never });
@@ -378,20 +378,19 @@
 {
   keeper_scene scene;
   scene.mMade.Start(state_builder::Run(scene.mJob, 1), scene.mWorker);
-  worker_keeper next(
+  worker_supervisor next(
     scene.mMade.mState, scene.mOptions, 8, scene.mNow, scene.mNow);
   const time_point begun = scene.mNow;
   const auto dropped = [&]() { return !next.TakeCommands().empty(); };
-  for (time_point now = begun;
-       now < begun + scene.mOptions.mLongestLease * 1.02;
+  for (time_point now = begun; now < begun + scene.mOptions.mMaxLease * 1.02;
        now += milliseconds(50)) {
     next.Tick(now);
     for (const worker_order& order : next.TakeOrders()) {
-      next.Answered(order.mId, keeper_scene::With(order_result::NoAnswer), now);
+      next.OnAnswer(order.mId, keeper_scene::With(order_result::NoAnswer), now);
     }
     CHECK_FALSE(dropped());
   }
-  next.Tick(begun + scene.mOptions.mLongestLease + milliseconds(300));
+  next.Tick(begun + scene.mOptions.mMaxLease + milliseconds(300));
   CHECK(dropped());
 }
 
@@ -404,16 +403,16 @@
   const run_ref run = scene.BeginRunning();
   order_answer ended = keeper_scene::Showing({});
   ended.mEnded.push_back({ 3, { run, run_outcome::Done, {} } });
-  scene.Answer(*scene.Next<hold_order>(), ended);
+  scene.Answer(*scene.Next<poll_order>(), ended);
   REQUIRE(scene.mCommands.size() == 1);
   scene.Advance(milliseconds(500));
-  CHECK_FALSE(scene.Next<hold_order>()); // nothing is told meanwhile
+  CHECK_FALSE(scene.Next<poll_order>()); // nothing is told meanwhile
   scene.mMade.Apply(scene.mCommands[0]);
-  scene.mKeeper.EndsApplied(scene.mWorker, scene.mNow);
+  scene.mKeeper.OnEndsApplied(scene.mWorker, scene.mNow);
   scene.Advance(milliseconds(10));
-  const auto look = scene.Next<hold_order>();
+  const auto look = scene.Next<poll_order>();
   REQUIRE(look);
-  CHECK(std::get<hold_order>(look->mBody).mCursor == 3);
+  CHECK(std::get<poll_order>(look->mBody).mCursor == 3);
 }
 
 TEST_CASE("the lists of a later life say nothing of an earlier one's runs")
@@ -424,29 +423,29 @@
   keeper_scene scene;
   scene.Sync();
   const run_ref run = scene.Begin();
-  worker_facts facts = Worker("w");
-  facts.mBornMs = 9'000;
+  worker_description facts = Worker("w");
+  facts.mProcessStartMs = 9'000;
   scene.mMade.Apply(register_worker{ facts, false });
-  scene.mKeeper.Removed(scene.mWorker);
+  scene.mKeeper.OnRemoved(scene.mWorker);
   scene.mWorker = scene.mMade.mState.NumberOf(facts.mId);
-  scene.mKeeper.Registered(scene.mWorker, scene.mNow);
+  scene.mKeeper.OnRegistered(scene.mWorker, scene.mNow);
   scene.mSeen.clear();
   order_answer later = keeper_scene::Showing({});
-  later.mBornMs = 12'000; // and once more since
+  later.mProcessStartMs = 12'000; // and once more since
   for (int looks = 0; looks < 3; ++looks) {
-    scene.Advance(scene.mOptions.mLookAgain + milliseconds(20));
-    const auto look = scene.Next<hold_order>();
+    scene.Advance(scene.mOptions.mPollRetryDelay + milliseconds(20));
+    const auto look = scene.Next<poll_order>();
     REQUIRE(look);
     CHECK_FALSE(look->mLeaseClockMs);
     scene.Answer(*look, later);
     CHECK_FALSE(scene.IsDropped(run));
     CHECK_FALSE(scene.mKeeper.IsUsable(scene.mWorker, scene.mNow));
   }
-  scene.Advance(scene.mOptions.mLookAgain + milliseconds(20));
-  const auto look = scene.Next<hold_order>();
+  scene.Advance(scene.mOptions.mPollRetryDelay + milliseconds(20));
+  const auto look = scene.Next<poll_order>();
   REQUIRE(look);
   order_answer own = keeper_scene::Showing({});
-  own.mBornMs = 9'000;
+  own.mProcessStartMs = 9'000;
   scene.Answer(*look, own);
   CHECK(scene.IsDropped(run));
 }
@@ -462,14 +461,14 @@
   order_answer ended = keeper_scene::Showing({});
   ended.mEnded.push_back({ 3, { run, run_outcome::Done, {} } });
   const run_ref next = scene.Begin(1);
-  scene.Answer(*scene.Next<hold_order>(), ended);
+  scene.Answer(*scene.Next<poll_order>(), ended);
   scene.mMade.Apply(scene.mCommands.back());
-  scene.mKeeper.EndsApplied(scene.mWorker, scene.mNow);
+  scene.mKeeper.OnEndsApplied(scene.mWorker, scene.mNow);
   const auto cursorOfNext = [&](const order_answer& aAnswer) {
-    scene.Advance(scene.mOptions.mLookAgain + milliseconds(20));
-    const auto look = scene.Next<hold_order>();
+    scene.Advance(scene.mOptions.mPollRetryDelay + milliseconds(20));
+    const auto look = scene.Next<poll_order>();
     REQUIRE(look);
-    const std::uint64_t named = std::get<hold_order>(look->mBody).mCursor;
+    const std::uint64_t named = std::get<poll_order>(look->mBody).mCursor;
     scene.Answer(*look, aAnswer);
     return named;
   };
@@ -486,9 +485,10 @@
   scene.Sync();
   scene.Begin();
   scene.Answer(*scene.Next<start_order>(),
-               keeper_scene::With(order_result::OtherLife));
+               keeper_scene::With(order_result::OtherIncarnation));
   REQUIRE(scene.mCommands.size() == 2);
-  CHECK(std::get<note_crash>(scene.mCommands[0]).mWorker == scene.mWorker);
+  CHECK(std::get<record_worker_crash>(scene.mCommands[0]).mWorker ==
+        scene.mWorker);
   CHECK(std::get<remove_worker>(scene.mCommands[1]).mWorker == scene.mWorker);
 }
 
@@ -498,7 +498,7 @@
   scene.Sync();
   const run_ref known = scene.BeginRunning();
   const run_ref stray = state_builder::Run(scene.mJob, 9, 2);
-  scene.Answer(*scene.Next<hold_order>(),
+  scene.Answer(*scene.Next<poll_order>(),
                keeper_scene::Showing({ known, stray }));
   const auto stop = scene.Next<stop_order>();
   REQUIRE(stop);
--- a/testing/histories/main.cc
+++ b/testing/histories/main.cc
@@ -28,7 +28,7 @@
   unsigned mThreads = std::max(1U, std::thread::hardware_concurrency() / 2);
   int mActions = 60;
   flow::flow_options mFlow;
-  flow::history_troubles mTroubles;
+  flow::history_faults mTroubles;
 };
 
 constexpr const char* kUsage =
@@ -95,7 +95,7 @@
         options.mTroubles.mHolds = true;
         break;
       case 'c':
-        options.mFlow.mWorkersAlone = 0;
+        options.mFlow.mMaxWorkersWithoutRelays = 0;
         break;
       case 'x':
         options.mTroubles.mCrashing = true;
@@ -113,24 +113,24 @@
 }
 
 void
-Add(const flow::history_account& aOne, flow::history_account& aAll)
+Add(const flow::history_counts& aOne, flow::history_counts& aAll)
 {
   aAll.mCrashingJobs += aOne.mCrashingJobs;
   aAll.mCrashingStarts += aOne.mCrashingStarts;
-  aAll.mInnocentJobs += aOne.mInnocentJobs;
-  aAll.mInnocentFailed += aOne.mInnocentFailed;
+  aAll.mNormalJobs += aOne.mNormalJobs;
+  aAll.mFailedNormalJobs += aOne.mFailedNormalJobs;
 }
 
 // Returns how many broke a promise.
 std::uint64_t
-Hunt(const hunt_options& aOptions, flow::history_account& aAccount)
+Hunt(const hunt_options& aOptions, flow::history_counts& aAccount)
 {
   std::atomic<std::uint64_t> next = aOptions.mFrom;
   std::atomic<std::uint64_t> broken = 0;
   std::mutex printing;
   const auto play = [&]() {
     for (std::uint64_t seed = next++; seed <= aOptions.mTo; seed = next++) {
-      flow::history_account account;
+      flow::history_counts account;
       const auto what = flow::PlayFlowSeed(
         seed, aOptions.mActions, aOptions.mFlow, aOptions.mTroubles, &account);
       const std::scoped_lock lock(printing);
@@ -159,13 +159,13 @@
     std::cerr << kUsage;
     return 2;
   }
-  flow::history_account account;
+  flow::history_counts account;
   const std::uint64_t broken = Hunt(*options, account);
   if (options->mTroubles.mCrashing) {
     std::cout << account.mCrashingJobs << " jobs with tasks that crash, "
               << account.mCrashingStarts << " starts of such tasks\n";
   }
-  std::cout << account.mInnocentFailed << " of " << account.mInnocentJobs
+  std::cout << account.mFailedNormalJobs << " of " << account.mNormalJobs
             << " sound jobs were given up\n";
   std::cout << options->mTo - options->mFrom + 1 << " histories played, "
             << broken << " broke a promise\n";
--- a/testing/host/order_relay_test.cc
+++ b/testing/host/order_relay_test.cc
@@ -71,8 +71,8 @@
     flow::worker_order order;
     order.mId = aId;
     order.mFence = 3;
-    order.mLife = worker_id("w");
-    order.mCarrier = aCarrier;
+    order.mWorkerId = worker_id("w");
+    order.mRelay = aCarrier;
     order.mLeaseClockMs = 5'000;
     order.mBody = flow::start_order{
       { { job_id("job"), 0, 1, 2 }, 4 }, "payload", "half", "ticket"
--- a/testing/platform/calls_test.cc
+++ b/testing/platform/calls_test.cc
@@ -69,21 +69,21 @@
          "image":"i"}]})"));
   REQUIRE(read);
   const auto& job = std::get<flow::job_submission>(*read);
-  CHECK(job.mPlace.mHost == "jobs.example");
-  CHECK(job.mPlace.mPath == "/lohu/5c0e7a21d94b36f8");
-  CHECK(job.mSpec.mRecurrence.mTimes == 2);
+  CHECK(job.mPath.mHost == "jobs.example");
+  CHECK(job.mPath.mPath == "/lohu/5c0e7a21d94b36f8");
+  CHECK(job.mSpec.mRecurrence.mRepeatCount == 2);
   REQUIRE(job.mSpec.mSteps.size() == 2);
   const flow::step_spec& first = job.mSpec.mSteps[0];
   CHECK(first.mDataRack == "r1-3");
   CHECK_FALSE(first.mGang);
-  CHECK_FALSE(first.mLimitsMisses);
+  CHECK_FALSE(first.mHasMaxMisses);
   const flow::step_spec& second = job.mSpec.mSteps[1];
   CHECK(second.mDependsOn == std::vector<std::uint32_t>{ 0 });
-  CHECK(second.mMostPerWorker == 2);
-  CHECK(second.mLimitsMisses); // 0 may be missed, which is a bound
-  CHECK(second.mTailTargetMs == 90);
-  CHECK((second.mGang && second.mSameRack && second.mCopies &&
-         second.mLasting && second.mFills && second.mCheckpoints));
+  CHECK(second.mMaxPerWorker == 2);
+  CHECK(second.mHasMaxMisses); // 0 may be missed, which is a bound
+  CHECK(second.mTailLatencyTargetMs == 90);
+  CHECK((second.mGang && second.mSameRack && second.mAllowsCopies &&
+         second.mLongRunning && second.mBestEffort && second.mCheckpoints));
   CHECK(platform::CallerDeadlineMs(Call("GET", "/")) == 3'000);
 }
 
@@ -100,7 +100,7 @@
 {
   CHECK(StatusOf(Job(flow::job_reply::Accepted)) == 200);
   CHECK(StatusOf(Job(flow::job_reply::NoQueue)) == 404);
-  CHECK(StatusOf(Job(flow::job_reply::Gone)) == 410);
+  CHECK(StatusOf(Job(flow::job_reply::NotFound)) == 410);
   CHECK(StatusOf(Job(flow::job_reply::Refused)) == 429);
   CHECK(StatusOf(Job(flow::job_reply::NotConfigured)) == 503);
   // Surely not taken up: a refusal. Perhaps taken up: no refusal.
@@ -125,15 +125,15 @@
          "capacity":{"cpu":16000,"memMb":32768,"gpu":2},
          "labels":["a","r1-3"],"clockMs":482113,"seq":4})"));
   REQUIRE(read);
-  const auto& beat = std::get<flow::worker_beat>(*read);
-  CHECK(beat.mFacts.mId.Value() == "i-7f");
-  CHECK(beat.mFacts.mRack.Value() == "r1-3");
-  CHECK(beat.mFacts.mCapacity.mAccelerators == 2);
-  CHECK((beat.mDraining && beat.mRemainingMs == 800 && beat.mNumber == 4));
+  const auto& beat = std::get<flow::worker_heartbeat>(*read);
+  CHECK(beat.mDescription.mId.Value() == "i-7f");
+  CHECK(beat.mDescription.mRack.Value() == "r1-3");
+  CHECK(beat.mDescription.mCapacity.mAccelerators == 2);
+  CHECK((beat.mDraining && beat.mRemainingMs == 800 && beat.mSequence == 4));
   const auto left =
     platform::ReadRegistryCall(Call("POST", "/v1/instances/i-7f/deregister"));
   REQUIRE(left);
-  CHECK(std::holds_alternative<flow::worker_farewell>(*left));
+  CHECK(std::holds_alternative<flow::worker_deregistration>(*left));
   CHECK_FALSE(
     platform::ReadRegistryCall(Call("POST", "/v1/instances/i-7f/other")));
 }
@@ -206,17 +206,21 @@
          "capacity":{"cpu":1,"memMb":1},"clockMs":5,"seq":4,
          "born":1785721069176})"));
   REQUIRE(beat);
-  CHECK(std::get<flow::worker_beat>(*beat).mFacts.mBornMs == 1'785'721'069'176);
+  CHECK(std::get<flow::worker_heartbeat>(*beat).mDescription.mProcessStartMs ==
+        1'785'721'069'176);
   const auto left = [](const std::string& aBody) {
     return platform::ReadRegistryCall(
       Call("POST", "/v1/instances/i-7f/deregister", aBody));
   };
   const auto own = left(R"({"born":1785721069176})");
   REQUIRE(own);
-  CHECK(std::get<flow::worker_farewell>(*own).mBornMs == 1'785'721'069'176);
+  CHECK(std::get<flow::worker_deregistration>(*own).mProcessStartMs ==
+        1'785'721'069'176);
   for (const char* silent : { "", "{}" }) {
     REQUIRE(left(silent));
-    CHECK(std::get<flow::worker_farewell>(*left(silent)).mBornMs == 0);
+    CHECK(
+      std::get<flow::worker_deregistration>(*left(silent)).mProcessStartMs ==
+      0);
   }
   CHECK_FALSE(left(R"({"born":"yesterday"})"));
   CHECK_FALSE(left("no body"));
@@ -233,10 +237,10 @@
   REQUIRE(change.mTable.mQueues.size() == 1);
   const flow::queue_row& queue = change.mTable.mQueues[0];
   CHECK(queue.mStretch == 1.5);
-  CHECK(queue.mMostAttempts == 3);
+  CHECK(queue.mMaxAttempts == 3);
   REQUIRE(queue.mAdvice);
   CHECK(queue.mAdvice->mPerWorkerMs == 0.32);
-  CHECK(change.mTable.mServices[0].mWorkersRefuse);
+  CHECK(change.mTable.mServices[0].mHasAdmissionControl);
   CHECK(change.mTable.mLimits.mBodyBytes == 262'144);
 }
 
--- a/testing/platform/settings_test.cc
+++ b/testing/platform/settings_test.cc
@@ -54,9 +54,9 @@
   CHECK(settings->mSeeds.size() == 2);
   CHECK(settings->mGrace == oriolewalk::milliseconds(6'000));
   // A lease is never asked for longer than a worker grants.
-  CHECK(settings->mFlow.mLongestLease == oriolewalk::milliseconds(3'000));
+  CHECK(settings->mFlow.mMaxLease == oriolewalk::milliseconds(3'000));
   CHECK(settings->mFlow.mLease == oriolewalk::milliseconds(3'000));
-  CHECK(settings->mFlow.mShowEnded == oriolewalk::milliseconds(60'000));
+  CHECK(settings->mFlow.mEndedJobRetention == oriolewalk::milliseconds(60'000));
   CHECK(platform::SeedAddresses(*settings)[1] == "10.2.0.32:7720");
   CHECK(settings->mDataFolder == "/data/control");
 }
--- a/testing/platform/worker_calls_test.cc
+++ b/testing/platform/worker_calls_test.cc
@@ -40,7 +40,7 @@
   REQUIRE(port);
   http::client client(context, {});
   flow::worker_order order = std::move(aOrder);
-  order.mLife = oriolewalk::worker_id("w");
+  order.mWorkerId = oriolewalk::worker_id("w");
   order.mAddress = "127.0.0.1:" + std::to_string(*port);
   std::optional<flow::order_answer> answer;
   platform::MakeWorkerPort(client, {})(order, [&](flow::order_answer aAnswer) {
@@ -57,7 +57,7 @@
 LookAt(const std::string& aBody)
 {
   flow::worker_order look;
-  look.mBody = flow::hold_order{ 0, 0 };
+  look.mBody = flow::poll_order{ 0, 0 };
   return SendTo({ .mStatus = 200, .mBody = aBody }, look);
 }
 
@@ -66,7 +66,7 @@
 StartFor(std::int64_t aBornMs)
 {
   flow::worker_order start;
-  start.mBornMs = aBornMs;
+  start.mProcessStartMs = aBornMs;
   start.mBody = flow::start_order{};
   return start;
 }
@@ -84,14 +84,14 @@
     R"({"clockMs":5,"running":[["5c0e7a21d94b36f8.0.1.17",2,"half",41]]})");
   CHECK(sound.mResult == flow::order_result::Done);
   CHECK(sound.mRunning.size() == 1);
-  CHECK(sound.mBornMs == 0);
+  CHECK(sound.mProcessStartMs == 0);
 }
 
 TEST_CASE("a look's answer says whose lists it holds")
 {
   // Lists of a process that started since must not be read as those of the one
   // before. Where whose they are can't be read, they say nothing.
-  CHECK(LookAt(R"({"born":1785721069176,"running":[]})").mBornMs ==
+  CHECK(LookAt(R"({"born":1785721069176,"running":[]})").mProcessStartMs ==
         1'785'721'069'176);
   for (const char* strange : { R"("1785721069176")", "null", "-4", "[1]" }) {
     INFO(strange);
@@ -115,7 +115,7 @@
   seen.clear();
   const flow::order_answer other = SendTo(first, StartFor(999), &seen);
   CHECK(other.mResult == order_result::NotSent);
-  CHECK(other.mBornMs == 1'000);
+  CHECK(other.mProcessStartMs == 1'000);
   CHECK(seen == paths{ "/v1/hold" });
   seen.clear();
   CHECK(SendTo(first, StartFor(0), &seen).mResult == order_result::Done);
@@ -129,7 +129,7 @@
     return SendTo({ .mStatus = aStatus, .mBody = aBody }, StartFor(1'000))
       .mResult;
   };
-  CHECK(startAt(421, "{}") == order_result::OtherLife);
+  CHECK(startAt(421, "{}") == order_result::OtherIncarnation);
   CHECK(startAt(409, R"({"reason":"fence"})") == order_result::Superseded);
   CHECK(startAt(503, "") == order_result::Unhealthy);
   CHECK(startAt(500, "") == order_result::NotSent);
--- a/testing/soak/worker_house.cc
+++ b/testing/soak/worker_house.cc
@@ -122,7 +122,7 @@
   place& one = mPlaces[aWorker];
   // Every second life keeps the id of the one before.
   const std::uint64_t id = 1 + one.mLives++ / 2;
-  flow::worker_facts facts;
+  flow::worker_description facts;
   facts.mId =
     worker_id("w" + std::to_string(aWorker) + "-" + std::to_string(id));
   facts.mAddress = settings::address{ mOptions.mRelayIp,
@@ -137,10 +137,10 @@
   one.mWorker = std::make_unique<flow::fake_worker>(
     std::move(facts), kMostSlow * mRandom.Fraction(), mOracle);
   one.mWorker->Restart(runtime_clock::now()); // its counts and clock are new
-  one.mWorker->mSize = mOptions.mTaskSize;
+  one.mWorker->mTaskSize = mOptions.mTaskSize;
   one.mWorker->mWorkTime =
     milliseconds(kLeastWorkMs + mRandom.Below(kWorkSpanMs));
-  one.mWorker->mFailsFirst = aWorker % kFailsEach == 0;
+  one.mWorker->mFailsFirstAttempts = aWorker % kFailsEach == 0;
   one.mBeats = 0;
   one.mBeatAt = {};
   one.mLeavesAt.reset();
@@ -190,7 +190,7 @@
     return; // dropped: the caller sees a broken call
   }
   const flow::order_answer answer = here.mWorker->Handle(*order, now);
-  const auto* look = std::get_if<flow::hold_order>(&order->mBody);
+  const auto* look = std::get_if<flow::poll_order>(&order->mBody);
   if (look != nullptr && look->mWaitMs > 0 && answer.mEnded.empty() &&
       answer.mResult == flow::order_result::Done) {
     here.mWaiting.push_back(
@@ -283,7 +283,7 @@
   one.mBeatAt = aNow + mOptions.mBeatEvery;
   one.mBeatUnderWay = true;
   mClient.Send(mOptions.mControls[one.mControl],
-               WriteBeat(one.mWorker->Facts(),
+               WriteBeat(one.mWorker->Description(),
                          one.mWorker->mDraining,
                          one.mWorker->ClockMs(aNow),
                          ++one.mBeats),
@@ -305,7 +305,7 @@
 {
   const place& one = mPlaces[aWorker];
   mClient.Send(mOptions.mControls[one.mControl],
-               WriteFarewell(one.mWorker->Facts()),
+               WriteFarewell(one.mWorker->Description()),
                { .mConnectTimeout = kBeatBound, .mTotalTimeout = kBeatBound },
                [](const http::send_outcome& /*aOutcome*/) {
                  // It ends anyway.
--- a/testing/soak/worker_side.cc
+++ b/testing/soak/worker_side.cc
@@ -53,7 +53,7 @@
 ReadBody(std::string_view aPath, const json::object& aBody)
 {
   if (aPath == "/v1/hold") {
-    return flow::hold_order{ static_cast<std::uint64_t>(
+    return flow::poll_order{ static_cast<std::uint64_t>(
                                platform::IntegerOf(aBody, "ackCursor")),
                              platform::IntegerOf(aBody, "waitMs") };
   }
@@ -88,15 +88,15 @@
       return { 200, "" };
     case Superseded:
       return { kConflict, "fence" };
-    case Outlived:
+    case StaleAttempt:
       return { kConflict, "old" };
-    case Late:
+    case LeaseExpired:
       return { kConflict, "late" };
-    case NoRoom:
+    case NoCapacity:
       return { kConflict, "room" };
     case TicketInvalid:
       return { kConflict, "ticket" };
-    case OtherLife:
+    case OtherIncarnation:
       return { 421, "" };
     case Malformed:
       return { 400, "" };
@@ -150,7 +150,7 @@
   }
   flow::worker_order order;
   order.mBody = std::move(*what);
-  order.mLife = worker_id(
+  order.mWorkerId = worker_id(
     std::string(aRequest.Find("X-Oriolewalk-Expect-Instance").value_or("")));
   order.mFence =
     static_cast<std::uint64_t>(platform::IntegerOf(*body, "fence"));
@@ -171,8 +171,8 @@
   if (!reason.empty()) {
     body["reason"] = reason;
   }
-  if (aAnswer.mBornMs != 0) {
-    body["born"] = aAnswer.mBornMs;
+  if (aAnswer.mProcessStartMs != 0) {
+    body["born"] = aAnswer.mProcessStartMs;
   }
   json::array running;
   for (const flow::listed_run& row : aAnswer.mRunning) {
@@ -198,7 +198,7 @@
 }
 
 http::request
-WriteBeat(const flow::worker_facts& aFacts,
+WriteBeat(const flow::worker_description& aFacts,
           bool aDraining,
           std::int64_t aClockMs,
           std::int64_t aNumber)
@@ -220,14 +220,14 @@
                 { "labels", std::move(labels) },
                 { "clockMs", aClockMs },
                 { "seq", aNumber },
-                { "born", aFacts.mBornMs } });
+                { "born", aFacts.mProcessStartMs } });
 }
 
 http::request
-WriteFarewell(const flow::worker_facts& aFacts)
+WriteFarewell(const flow::worker_description& aFacts)
 {
   return Post("/v1/instances/" + aFacts.mId.Value() + "/deregister",
-              { { "born", aFacts.mBornMs } });
+              { { "born", aFacts.mProcessStartMs } });
 }
 
 } // namespace oriolewalk::soak
--- a/testing/soak/worker_side.h
+++ b/testing/soak/worker_side.h
@@ -21,11 +21,11 @@
 WriteAnswer(const flow::order_answer& aAnswer);
 // A heartbeat of this worker.
 http::request
-WriteBeat(const flow::worker_facts& aFacts,
+WriteBeat(const flow::worker_description& aFacts,
           bool aDraining,
           std::int64_t aClockMs,
           std::int64_t aNumber);
 http::request
-WriteFarewell(const flow::worker_facts& aFacts);
+WriteFarewell(const flow::worker_description& aFacts);
 
 } // namespace oriolewalk::soak
--- a/testing/soak/worker_side_test.cc
+++ b/testing/soak/worker_side_test.cc
@@ -17,7 +17,7 @@
   };
   const auto order = ReadOrder(request);
   REQUIRE(order);
-  CHECK(order->mLife.Value() == "w1");
+  CHECK(order->mWorkerId.Value() == "w1");
   CHECK(order->mFence == 7);
   CHECK(order->mLeaseClockMs == 486'000);
   const auto& start = std::get<flow::start_order>(order->mBody);
