--- a/oriolewalk/flow/heartbeat_aggregator.cc
+++ b/oriolewalk/flow/heartbeat_aggregator.cc
@@ -7,12 +7,14 @@
 
 namespace {
 
-// A sixth of a heartbeat's usual pause: a worker's silence is noticed as soon
-// as when it calls the leader itself.
+// A sixth of the usual heartbeat interval, so a worker's silence is noticed as
+// soon as if it called the leader itself.
 constexpr milliseconds kSummaryEvery{ 250 };
-// Four summaries without an answer: heartbeats go to the leader, whoever it is.
+// After four summaries without an answer, heartbeats are sent to the current
+// leader.
 constexpr milliseconds kLeaderSilence{ 1'000 };
-// A worker that calls here no more: as long as a leader keeps a silent one.
+// A worker that no longer calls this process is forgotten after the time for
+// which a leader keeps a silent worker.
 constexpr milliseconds kForgetAfter{ 20'000 };
 
 } // namespace
@@ -35,7 +37,7 @@
   }
   found->second.mBeatAt = aNow;
   heartbeat_digest& note = mNotes[aBeat.mDescription.mId];
-  // A later life numbers its heartbeats anew.
+  // A later incarnation restarts its heartbeat numbers.
   if (std::pair(aBeat.mDescription.mProcessStartMs, aBeat.mSequence) >=
       std::pair(note.mProcessStartMs, note.mSequence)) {
     note = { aBeat.mDescription.mId,
@@ -91,7 +93,8 @@
                         [this](const worker_id& aId) { Forget(aId); });
 }
 
-// What it held is lost: those workers' next heartbeats tell more.
+// The contents of the summary are lost; the workers' next heartbeats replace
+// them.
 void
 heartbeat_aggregator::OnSummaryFailed()
 {
--- a/oriolewalk/flow/heartbeat_aggregator.h
+++ b/oriolewalk/flow/heartbeat_aggregator.h
@@ -1,24 +1,27 @@
 #pragma once
 
-// Heartbeats that workers send to this control process, on their way to the
-// leader: what says nothing new is answered here and told in summaries.
+// Answers the heartbeats that workers send to this control process, and
+// forwards those that report nothing new to the leader in summaries.
 //
-//   beat_desk desk;
-//   if (desk.Take(beat, now)) { /* answer at once */ }
-//   else { /* ask the leader; then */ desk.Acknowledged(beat, now); }
-//   if (auto summary = desk.TakeSummary(now)) { /* send it; then */
-//     desk.Summarised(unknown, now); }
+//   heartbeat_aggregator aggregator;
+//   if (aggregator.TryAccept(heartbeat, now)) { /* answer at once */ }
+//   else { /* call the leader; then */
+//     aggregator.OnAcknowledged(heartbeat, now); }
+//   if (auto summary = aggregator.TakeSummary(now)) { /* send it; then */
+//     aggregator.OnSummaryAccepted(unknown, now); }
 //
-// The load it answers: 1,100 workers' heartbeats are 733 calls a second with a
-// connection each, all at the leader, and nearly all of them say what the last
-// one said. In summaries of a quarter second they are 32 messages.
+// Without it, the heartbeats of 1,100 workers are 733 calls a second to the
+// leader, each with its own connection, and nearly all of them repeat the
+// previous one. Summaries every quarter second reduce them to 32 messages a
+// second.
 //
-// A heartbeat that names a life, an address or a state that the leader hasn't
-// acknowledged here goes to it by itself, and is answered when it has committed
-// it. So is every heartbeat while the leader doesn't take summaries: a process
-// that is cut off from it must not hold workers to itself.
+// A heartbeat with an incarnation, an address or a state that the leader hasn't
+// acknowledged to this process is sent to the leader individually, and is
+// answered when the leader has committed it. So is every heartbeat while the
+// leader accepts no summaries: a process that is partitioned from the leader
+// must not keep workers attached to itself.
 //
-// Pure; owned by the control host, its thread.
+// Does no I/O. Owned by the control host and used on its thread.
 
 #include <map>
 #include <optional>
@@ -33,20 +36,20 @@
 class heartbeat_aggregator
 {
 public:
-  // False: the leader must be asked.
+  // Returns false if the heartbeat must be sent to the leader.
   bool TryAccept(const worker_heartbeat& aBeat, time_point aNow);
-  // The leader knows all that this heartbeat said, and takes summaries.
+  // The leader has acknowledged this heartbeat and accepts summaries.
   void OnAcknowledged(const worker_heartbeat& aBeat, time_point aNow);
-  // The worker has said that it leaves.
+  // Called when the worker has deregistered.
   void Forget(const worker_id& aId);
-  // At most one a quarter second, one under way at a time; nothing if nothing
-  // was taken.
+  // Returns at most one summary every quarter second, and none while one is in
+  // flight or if no heartbeat was accepted since the last one.
   std::optional<heartbeat_summary> TakeSummary(time_point aNow);
-  // The leader took the summary; it doesn't know these.
+  // The leader accepted the summary; it doesn't know the workers aUnknown.
   void OnSummaryAccepted(std::span<const worker_id> aUnknown, time_point aNow);
-  // Nobody took it.
+  // No leader accepted the summary.
   void OnSummaryFailed();
-  // Whether workers may go on sending their heartbeats here.
+  // Whether workers may continue to send their heartbeats here.
   [[nodiscard]] bool IsAggregating(time_point aNow) const;
 
 private:
--- a/oriolewalk/flow/worker_order.h
+++ b/oriolewalk/flow/worker_order.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// What a leader tells a worker, and what comes back. An adapter carries these
-// to a real worker; it translates and decides nothing. Both also travel between
-// control processes, in batches, where others carry the leader's orders.
+// Orders from the leader to a worker, and the worker's answers. An adapter
+// translates them for a real worker and makes no decisions. Both are also sent
+// between control processes, in batches, where relays make the leader's calls.
 
 #include <cstdint>
 #include <optional>
@@ -16,11 +16,11 @@
 
 namespace oriolewalk::flow {
 
-// Before the first number of what a leader sends in its term: numbers go on
-// from term to term. A process that leads twice within a second still gets
-// answers to what it sent the first time; numbered from 1 again, they were
-// taken for answers of other workers to other orders, and runs were given up
-// that went on.
+// The number before the first id that a leader uses in its term, so that ids
+// keep rising from term to term. A process that leads twice within a second
+// still receives answers to the orders of its first term. When ids restarted at
+// 1, those answers were matched to other orders to other workers, and runs that
+// were still executing were dropped.
 constexpr std::uint64_t
 OrderIdBase(std::uint64_t aTerm)
 {
@@ -28,10 +28,11 @@
   return aTerm << kNumberBits;
 }
 
-// What a worker compares orders by: it does nothing for a lower one than it has
-// seen. A later term's is higher, and within a term a later life's. Were it the
-// term alone, a worker that starts again under its id would carry out what was
-// on its way to the former process, after its runs were given up.
+// The fencing token of orders to a worker, which rejects an order with a lower
+// fence than it has seen. The fence rises with the term and, within a term,
+// with the worker's incarnation. If it were the term alone, a worker that
+// restarts under its id would execute orders that were in flight to its former
+// process, after its runs were dropped.
 constexpr std::uint64_t
 FenceOf(std::uint64_t aTerm, worker_number aWorker)
 {
@@ -43,8 +44,8 @@
 {
   run_ref mRun;
   std::string mPayload;
-  std::string mCheckpoint; // empty: from the beginning
-  std::string mTicket;     // of the policy service; empty: none needed
+  std::string mCheckpoint; // empty: start from the beginning
+  std::string mTicket;     // from the policy service; empty: none needed
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
@@ -64,11 +65,11 @@
   }
 };
 
-// Renews the lease of all that runs, and looks.
+// Renews the lease of all runs on the worker and polls its state.
 struct poll_order
 {
-  std::uint64_t mCursor = 0; // ends up to here may be forgotten
-  std::int64_t mWaitMs = 0;  // for an end, at the worker
+  std::uint64_t mCursor = 0; // the worker may forget ends up to it
+  std::int64_t mWaitMs = 0;  // how long the worker may wait for an end
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
@@ -96,14 +97,15 @@
 {
   std::uint64_t mId = 0;
   worker_number mWorker = 0;
-  worker_id mWorkerId; // any other life must refuse it
-  // The one process of that life that may get it, as in worker_facts: it goes
-  // only over a connection on which that process has told its start. 0: any.
+  worker_id mWorkerId; // a process with another id must refuse it
+  // The start time of the only process that may receive the order, as in
+  // worker_description. The order is sent only over a connection on which that
+  // process has reported this time. 0: any process.
   std::int64_t mProcessStartMs = 0;
   std::string mAddress;
-  std::string mRelay;       // RPC address of who makes the call; empty: leader
-  std::uint64_t mFence = 0; // FenceOf the leader's term and mWorker
-  // Until when all that runs there may run, on the worker's clock.
+  std::string mRelay;       // RPC address; empty: the leader makes the call
+  std::uint64_t mFence = 0; // FenceOf() the leader's term and mWorker
+  // When the lease of all runs there ends, on the worker's clock.
   std::optional<std::int64_t> mLeaseClockMs;
   order_body mBody;
 
@@ -124,16 +126,16 @@
 enum class order_result : std::uint8_t
 {
   Done,
-  Superseded,    // it knows a higher fence
-  StaleAttempt,  // not higher than an attempt that was stopped or ended there
-  LeaseExpired,  // its lease is over already
-  NoCapacity,    // it doesn't fit
-  TicketInvalid, // or out of date
-  Malformed,     // it could not read the order
-  Unhealthy,     // it has done nothing
-  OtherIncarnation, // the life that was meant is over
-  NoAnswer,         // it may have been done, or be done later
-  NotSent,          // surely not delivered; also if another process is there
+  Superseded,       // the worker has seen a higher fence
+  StaleAttempt,     // not newer than an attempt that was stopped or ended there
+  LeaseExpired,     // the order's lease is already over
+  NoCapacity,       // the run doesn't fit
+  TicketInvalid,    // or expired
+  Malformed,        // the worker could not parse the order
+  Unhealthy,        // the worker has done nothing
+  OtherIncarnation, // the intended incarnation is over
+  NoAnswer,         // the order may have been executed, or may be later
+  NotSent,          // certainly not delivered; also if another process is there
 };
 
 struct listed_run
@@ -141,7 +143,8 @@
   run_ref mRun;
   std::string mCheckpoint;
   int mPercent = 100;
-  // A serving task's tail in ms, or the processor use of any other; rough.
+  // The tail latency in ms of a latency-sensitive task, or the processor use of
+  // any other; approximate.
   std::int64_t mLoad = 0;
 
   template<class Archive>
@@ -153,7 +156,7 @@
 
 struct listed_end
 {
-  std::uint64_t mNumber = 0; // in the worker's own count, from 1
+  std::uint64_t mNumber = 0; // the worker's own sequence number, from 1
   run_end mEnd;
 
   template<class Archive>
@@ -167,10 +170,10 @@
 {
   order_result mResult = order_result::NoAnswer;
   std::optional<std::int64_t> mClockMs; // the worker's clock
-  // Whose lists these are, or which process is there instead of the one that
-  // the order was meant for; as in worker_facts.
+  // The start time of the process that the lists belong to, or of the process
+  // that is there instead of the intended one; as in worker_description.
   std::int64_t mProcessStartMs = 0;
-  // Of a hold.
+  // Only in the answer to a poll.
   std::vector<listed_run> mRunning;
   std::vector<listed_end> mEnded;
 
@@ -181,11 +184,12 @@
   }
 };
 
-// Orders of one leader for a carrier, and their answers. A fence is never used
-// by two leaders, so it tells the answers of one term from those of another.
+// Orders from one leader for a relay, and their answers. Two leaders never use
+// the same fence, so it distinguishes the answers of one term from those of
+// another.
 struct order_batch
 {
-  std::string mLeader; // RPC address; the answers go there
+  std::string mLeader; // RPC address, to which the answers are sent
   std::vector<worker_order> mOrders;
 
   template<class Archive>
--- a/oriolewalk/flow/worker_supervisor.cc
+++ b/oriolewalk/flow/worker_supervisor.cc
@@ -15,12 +15,12 @@
 
 // Covers the rounding of clocks to whole milliseconds on both sides.
 constexpr milliseconds kClockRounding{ 10 };
-// Ticks this far apart, 10 ms when there is time, leave answers unread for as
-// long as a look may take.
+// Ticks normally come every 10 ms. When they are this far apart, answers stay
+// unread for as long as a poll may take.
 constexpr milliseconds kLateTick{ 200 };
 
-// It renews no lease and lets nothing be forgotten: whichever process gets it
-// only tells what it holds.
+// Whether the order renews no lease and acknowledges no ends, so that any
+// process that receives it only reports its state.
 bool
 IsPlainLook(const worker_order& aOrder)
 {
@@ -51,10 +51,11 @@
 {
   for (const auto& [number, worker] : mState.Workers()) {
     worker_view& view = mViews[number] = TakeOver(number, aNow);
-    // Lost runs: the earlier leader didn't reach it, nor hear it.
+    // If runs are lost, the earlier leader could not reach the worker and
+    // received no heartbeats.
     if (aLedUntil != time_point::min() &&
         !mState.Crashes().HasLostRuns(number)) {
-      // It may have missed the last heartbeat before it went.
+      // The earlier leader may have missed the last heartbeat.
       view.mHeartbeatAt = aLedUntil - mOptions.mHeartbeatInterval;
     }
   }
@@ -71,8 +72,8 @@
 worker_supervisor::TakeOver(worker_number aWorker, time_point aNow) const
 {
   worker_view view;
-  // An earlier leader may have given the longest lease just before it lost its
-  // place; it gives none afterwards.
+  // An earlier leader may have granted the longest lease just before it lost
+  // leadership; it grants none afterwards.
   view.mLeasesExpireAt = LongestLapse(aNow);
   view.mLastContactAt = aNow;
   view.mShortPollRequested = true;
@@ -97,7 +98,8 @@
   view.mHeartbeatAt = aNow;
   view.mHasUncommittedUpdate = false;
   view.mLastContactAt = aNow;
-  // A heartbeat may have been under way for long: an answer of late is better.
+  // A heartbeat may have been in transit for long, so a recent answer is
+  // preferred.
   if (!view.mHasClock || aNow - view.mClockAt > mOptions.mLease) {
     NoteClock(view, aClockMs, aNow);
   }
@@ -113,17 +115,18 @@
   if (!mViews.contains(aWorker)) {
     worker_view view = TakeOver(aWorker, aNow);
     if (view.mRuns.empty()) {
-      view.mLeasesExpireAt = aNow; // nothing can run in a new life
+      view.mLeasesExpireAt = aNow; // nothing can run in a new incarnation
     } else {
-      // A worker that didn't tell its start before may still be the same
-      // process, and get a start that is on its way.
+      // A worker that didn't report its process start time before may still be
+      // the same process, and receive a start that is in flight.
       view.mLeasesExpireAt += mOptions.mAnswerMargin;
     }
     view.mHeartbeatAt = aNow;
     mViews.emplace(aWorker, std::move(view));
   }
   mViews[aWorker].mHasUncommittedUpdate = false;
-  // Another life at the same address is over: one look there says so.
+  // Another incarnation at the same address is over; a short poll there
+  // confirms it.
   for (auto& [number, view] : mViews) {
     const worker_record* other = mState.FindWorker(number);
     if (number != aWorker && other != nullptr &&
@@ -166,7 +169,8 @@
   if (aWithLease && view.mHasClock) {
     const duration age = aNow - view.mClockAt;
     order.mLeaseClockMs = view.mClockMs + ToMs(age) + mOptions.mLease.count();
-    // The worker's clock may have gained less than ours since its answer.
+    // The worker's clock may have advanced less than the local one since its
+    // answer.
     const duration lease =
       mOptions.mLease +
       std::chrono::duration_cast<duration>(age * mOptions.mMaxClockDrift);
@@ -232,7 +236,7 @@
   }
   const auto run = found->second.mRuns.find(aRun);
   if (run != found->second.mRuns.end()) {
-    run->second.mPercent = aPercent; // the next look shows what holds
+    run->second.mPercent = aPercent; // the next poll shows the actual pace
     Send(aWorker, pace_order{ aRun, aPercent }, false, aNow);
   }
 }
@@ -249,8 +253,9 @@
   SyncRuns(aWorker, found->second);
 }
 
-// Without this a task that worked for minutes on a worker that crashed begins
-// anew: the worker can't list an end, so nothing else tells how far it was.
+// Without this, a task that ran for minutes on a worker that crashed would
+// restart from the beginning: the worker can't list an end, so the checkpoint
+// is known from polls only.
 void
 worker_supervisor::SaveCheckpoints(worker_number aWorker)
 {
@@ -279,8 +284,8 @@
   }
 }
 
-// What the state holds no more isn't watched any more. On each change of what
-// is placed there, not on each tick: a look-up of every run a hundred times a
+// Forgets runs that are no longer in the state. This is done when the placed
+// runs change and not on each tick: a look-up of every run a hundred times a
 // second cost a leader of 350 workers a tenth of its processor.
 void
 worker_supervisor::SyncRuns(worker_number aWorker, worker_view& aView)
@@ -321,8 +326,8 @@
 {
   const std::uint64_t cursor =
     aView.mShouldSendCursor ? mState.FindWorker(aWorker)->mCursor : 0;
-  // Nothing is promised to a worker that doesn't answer: a lease that may have
-  // reached it would put off the moment when its work may go elsewhere.
+  // A worker that doesn't answer gets no lease: one that may have reached it
+  // would delay the time at which its runs may start elsewhere.
   const bool lease = aView.mFailedPolls == 0 && !aView.mHasNewerIncarnation;
   return Send(aWorker, poll_order{ cursor, aWait.count() }, lease, aNow);
 }
@@ -377,7 +382,7 @@
   }
 }
 
-// Its look waits there, and nothing else is due: so it is with nearly all
+// Whether its long poll is in flight and nothing else is due, as for nearly all
 // workers at nearly all ticks.
 bool
 worker_supervisor::IsQuiet(const worker_view& aView, time_point aNow) const
@@ -431,7 +436,8 @@
     if (view.mRuns.empty() && aNow >= view.mLeasesExpireAt &&
         aNow >= view.mLastContactAt + mOptions.mWorkerRemovalDelay) {
       mCommands.emplace_back(remove_worker{ number });
-      view.mLastContactAt = aNow; // once in a while, until it is applied
+      view.mLastContactAt =
+        aNow; // proposes it again after this delay until it is applied
     }
   }
 }
--- a/oriolewalk/flow/worker_supervisor.h
+++ b/oriolewalk/flow/worker_supervisor.h
@@ -1,37 +1,38 @@
 #pragma once
 
-// The leader's dealings with workers: leases, looks, starts and stops, and what
-// may be concluded from answers that are late, lost or out of order.
+// Manages the leader's communication with workers: leases, polls, starts and
+// stops, and the conclusions from answers that are late, lost or out of order.
 //
-//   worker_keeper keeper(state, options, term, now);
-//   keeper.Began(outcome.mStarted, ...);   // committed: tell the workers
-//   for (auto& order : keeper.TakeOrders()) { /* send it */ }
-//   keeper.Answered(order.mId, answer, now);
-//   for (auto& command : keeper.TakeCommands()) { /* propose it */ }
+//   worker_supervisor supervisor(state, options, term, now, ledUntil);
+//   supervisor.OnStartCommitted(start, ticket, now); // orders the start
+//   for (auto& order : supervisor.TakeOrders()) { /* send it */ }
+//   supervisor.OnAnswer(order.mId, answer, now);
+//   for (auto& command : supervisor.TakeCommands()) { /* propose it */ }
 //
-// What it relies on: a worker does nothing for a fence lower than one it has
-// seen; a stop of an attempt that isn't there yet makes it impossible; leases
-// end on the worker's own clock, which may be slow by a bound; and an order
-// that names a process (worker_order::mBornMs) reaches that one or none. All
-// orders do but looks that renew no lease and name no cursor, where the worker
-// tells its start.
+// It relies on these guarantees:
+// - A worker ignores orders with a lower fence than one it has seen.
+// - A stop of an attempt that hasn't started yet prevents its start.
+// - Leases end by the worker's own clock, whose drift is bounded.
+// - An order that names a process (worker_order::mProcessStartMs) reaches that
+//   process or none. If the worker reports its process start time, all orders
+//   name it, except polls that renew no lease and send no cursor.
 //
-// A worker's next life under its id is met as a new leader meets a worker:
-// under a higher fence, with all that was placed there taken over until a look
-// shows what runs.
+// A new incarnation of a worker under its id is treated as a new leader treats
+// a worker: it gets a higher fence, and all runs that were placed there are
+// inherited until a poll shows which of them run.
 //
-// A run is given up (so that its task may start elsewhere) only if
+// A run is dropped (so that its task may start elsewhere) only if
 // - the worker listed its end, or refused the start before doing anything;
-// - a look that was sent after the start was answered, or after its stop was,
-//   shows neither the run nor its end;
-// - the worker's life is over;
-// - every lease that this or an earlier leader gave it has surely lapsed, and
-//   it can't be reached. While this process is late, one that is heard counts
-//   as one that can.
+// - a poll that was sent after the start or the stop was answered shows neither
+//   the run nor its end;
+// - the worker's incarnation is over;
+// - every lease that this or an earlier leader granted the worker has certainly
+//   expired, and the worker is unreachable. While this process is delayed, a
+//   worker that still makes contact counts as reachable.
 //
-// Owned by the leading part of the flow core; made new for each term. No I/O.
-// Orders are numbered on from term to term: one that an earlier keeper of this
-// process sent may be answered now, and says nothing of this one's.
+// Owned by leader_core, which creates a new one for each term. Does no I/O.
+// Order ids keep rising from term to term: the answer to an order that this
+// process sent in an earlier term may arrive now, and is ignored.
 
 #include <cstdint>
 #include <map>
@@ -50,109 +51,115 @@
 
 namespace oriolewalk::flow {
 
-// What the leader believes of a worker right now.
+// The leader's current view of a worker.
 struct worker_view
 {
   struct run_view
   {
-    // When the start was answered as done; a look sent later must show it.
+    // When the start was answered as done, or a poll first showed the run.
+    // Later polls must show it.
     std::optional<time_point> mStartedAt;
-    // Given when the start got no answer.
+    // Set when the start got no answer.
     std::optional<time_point> mStartUnansweredSince;
     bool mInherited = false;  // an earlier leader may have sent the start
-    bool mSeenInPoll = false; // in a look
+    bool mSeenInPoll = false; // a poll has shown the run
     bool mStopRequested = false;
     bool mStopInFlight = false;
     time_point mStopRetryAt{};
     std::optional<time_point> mStoppedAt; // the stop was answered
     int mPercent = 100;
     std::int64_t mLoad = 0;
-    std::string mCheckpoint; // as a look showed it last
+    std::string mCheckpoint; // from the latest poll
   };
 
   bool mSynced = false; // it has answered under this term's fence
   bool mHasClock = false;
   std::int64_t mClockMs = 0;
   time_point mClockAt{};
-  time_point mLeasesExpireAt{}; // by then every lease there is over
-  std::uint64_t mLongPoll = 0;  // the look that waits there for an end
+  time_point mLeasesExpireAt{}; // every lease there is over by then
+  std::uint64_t mLongPoll = 0;  // id of the long poll in flight; 0: none
   time_point mNextPollAt{};
-  bool mShortPollRequested = false; // a look that doesn't wait is wanted
+  bool mShortPollRequested = false; // a poll that doesn't wait is due
   std::uint64_t mShortPoll = 0;
   time_point mNextExpiryCheckAt{};
-  int mFailedPolls = 0;           // looks without an answer, in a row
+  int mFailedPolls = 0;           // consecutive polls without an answer
   time_point mFailedPollSentAt{}; // when the last of them was sent
   time_point mFailingSince{};     // when the first of them was sent
   time_point mLastContactAt{};
   time_point mUnhealthyUntil{};
-  std::int64_t mHeartbeatNumber = -1; // the newest heartbeat's number
-  // When a heartbeat was heard last; of an earlier leader's, at the latest.
+  std::int64_t mHeartbeatNumber = -1; // of the newest heartbeat; -1: none
+  // When the last heartbeat arrived; a conservative estimate if it arrived at
+  // an earlier leader.
   time_point mHeartbeatAt{};
   bool mHasUncommittedUpdate =
-    false; // it said something new, which isn't committed yet
+    false; // it reported a change that isn't committed yet
   bool mHasUncommittedEnds = false;
-  // Its last look listed ends, so that the next one names the cursor. Named
-  // again and again, it would make a process that has started since, unheard,
-  // forget ends of its own.
+  // Its last poll listed ends, so the next one sends the cursor. If every poll
+  // sent it, a process that has restarted unnoticed would forget ends of its
+  // own.
   bool mShouldSendCursor = false;
-  // A look was answered by a later life, whose heartbeat is still to come.
+  // A poll was answered by a later incarnation, whose heartbeat hasn't arrived
+  // yet.
   bool mHasNewerIncarnation = false;
-  // A run is to be stopped, or its start is in doubt. Else nothing is due for
-  // any run by time alone: a leader of 1,100 workers would look at 6,000 runs a
+  // A run must be stopped, or its start is unconfirmed. Otherwise the runs are
+  // skipped on a tick: a leader of 1,100 workers would visit 6,000 runs a
   // hundred times a second.
   bool mHasRunsToResolve = false;
   std::map<run_ref, run_view> mRuns;
-  // Of the runs that were given up as lapsed: for how long they went on at
-  // least.
+  // How long runs had run at least that were marked as lost when their lease
+  // expired.
   std::map<run_ref, duration> mLostRunAges;
-  bool mEndLogged = false; // that its life is over; every late answer says so
+  bool mEndLogged = false; // its incarnation ended; every late answer says so
 };
 
 class worker_supervisor
 {
 public:
-  // aLedUntil: when an earlier leader was last heard of, which may have heard
-  // the workers; min(): not known.
+  // aLedUntil: when this process last knew of an earlier leader, which may have
+  // received the workers' heartbeats; min(): unknown.
   worker_supervisor(const flow_state& aState,
                     flow_options aOptions,
                     std::uint64_t aTerm,
                     time_point aNow,
                     time_point aLedUntil);
 
-  // A worker's heartbeat of a known life.
+  // A known incarnation of a worker sent a heartbeat.
   void OnHeartbeat(worker_number aWorker,
                    std::int64_t aBeat,
                    std::int64_t aClockMs,
                    time_point aNow);
-  // What the heartbeat says is proposed: nothing is planned there by what was
-  // known before.
+  // A change that a heartbeat reported is proposed. Until it is committed,
+  // nothing is planned there by the former description.
   void OnUpdateProposed(worker_number aWorker);
-  // The number of its newest heartbeat in this term; -1: none was heard.
+  // The number of its newest heartbeat in this term; -1: none arrived.
   [[nodiscard]] std::int64_t LatestHeartbeatNumber(worker_number aWorker) const;
-  // The worker is in the state (anew or changed).
+  // The worker was added to the state or changed in it.
   void OnRegistered(worker_number aWorker, time_point aNow);
   void OnRemoved(worker_number aWorker);
-  // The starts were committed in this term: tell the workers. aTickets, by
-  // worker, where the queue asks for them.
+  // A start was committed in this term: orders it from the worker. aTicket is
+  // empty unless the queue requires one.
   void OnStartCommitted(const run_start& aStart,
                         std::string aTicket,
                         time_point aNow);
-  // The ends of a look were committed.
+  // The ends of a poll were committed, or could not be proposed.
   void OnEndsApplied(worker_number aWorker, time_point aNow);
-  // Proposes to keep how far its runs had come; before they are given up.
+  // Proposes to save its runs' latest checkpoints; called before they are
+  // dropped.
   void SaveCheckpoints(worker_number aWorker);
-  // A later life has taken the worker's place. Proposes to count a crash of
-  // what ran there, unless the worker drained; notes how that is known.
+  // A later incarnation has replaced the worker. Proposes to count a crash for
+  // the runs there, unless the worker was draining. aKnownBy, for the log, says
+  // what showed it.
   void OnIncarnationEnded(worker_number aWorker,
                           std::string_view aKnownBy,
                           time_point aNow);
-  // Runs there were given up.
+  // Runs there were dropped or marked as lost.
   void OnRunsDropped(worker_number aWorker);
   void OnAnswer(std::uint64_t aOrder,
                 const order_answer& aAnswer,
                 time_point aNow);
   void Tick(time_point aNow);
-  // Wishes a run's end (its job ended, its gang is broken, it must move).
+  // Requests that a run be stopped (its job ended, its gang is broken, it must
+  // move).
   void RequestStop(worker_number aWorker, const run_ref& aRun, time_point aNow);
   void SetPace(worker_number aWorker,
                const run_ref& aRun,
@@ -161,16 +168,16 @@
 
   std::vector<worker_order> TakeOrders();
   std::vector<command_body> TakeCommands();
-  // What it concluded since the last call, for the log.
+  // The decisions since the last call, for the log.
   std::vector<decision> TakeDecisions();
-  // Starts that a worker refused for its ticket, since the last call.
+  // Starts that a worker refused because of the ticket, since the last call.
   std::vector<run_start> TakeTicketRefusals();
 
-  // Whether the run has just started, as far as is known: it may be about to
-  // crash its worker.
+  // Whether the run has just started, as far as is known, and may yet crash its
+  // worker.
   [[nodiscard]] bool IsNewlyStarted(worker_number aWorker,
                                     const run_ref& aRun) const;
-  // Whether new work may go there now.
+  // Whether new runs may be placed there now.
   [[nodiscard]] bool IsUsable(worker_number aWorker, time_point aNow) const;
   [[nodiscard]] const std::map<worker_number, worker_view>& Views() const
   {
@@ -185,12 +192,12 @@
     time_point mSentAt{};
   };
 
-  // A view of a worker of which nothing is known but what the state holds.
+  // The view of a worker of which only the replicated state is known.
   [[nodiscard]] worker_view TakeOver(worker_number aWorker,
                                      time_point aNow) const;
-  // By when a lease is over that begins now and isn't ours.
+  // When a lease is over at the latest that another leader grants now.
   [[nodiscard]] time_point LongestLapse(time_point aNow) const;
-  // Whether the lists are of another life than the one that was asked.
+  // Whether the answer is from another incarnation than the order's.
   [[nodiscard]] bool IsOfOtherLife(worker_number aWorker,
                                    const order_answer& aAnswer) const;
   void NoteOutlived(worker_number aWorker,
@@ -236,7 +243,7 @@
                   time_point aSentAt,
                   const order_answer& aAnswer);
   void DropLapsed(worker_number aWorker, worker_view& aView, time_point aNow);
-  // Proposes to give them up, and notes why.
+  // Proposes to drop the runs, and logs the reason.
   void GiveUp(worker_number aWorker,
               std::vector<run_ref> aRuns,
               std::string_view aWhy);
@@ -247,10 +254,10 @@
   void TickRuns(worker_number aWorker, worker_view& aView, time_point aNow);
   void SyncRuns(worker_number aWorker, worker_view& aView);
   void NoteTick(time_point aNow);
-  // Whether its last look may have failed only because this process was late:
-  // the worker was heard since it was sent.
+  // Whether its last poll may have failed only because this process was
+  // delayed: the worker made contact after the poll was sent.
   [[nodiscard]] bool IsOurDelay(const worker_view& aView) const;
-  // Whether all its looks fail and that can't be for this process's delay.
+  // Whether its polls fail and a delay of this process can't be the cause.
   [[nodiscard]] bool IsUnreachable(const worker_view& aView,
                                    time_point aNow) const;
   void NoteOver(worker_number aWorker,
@@ -258,13 +265,13 @@
                 std::string_view aKnownBy,
                 time_point aNow);
   void NoteReturn(worker_number aWorker, worker_view& aView);
-  // Of the lease: proposes to give them up until it is known whether the worker
-  // crashed under them.
+  // Proposes to mark its runs as lost because their lease expired, until it is
+  // known whether the worker crashed.
   void LoseRuns(worker_number aWorker, worker_view& aView);
   [[nodiscard]] bool IsProven(const worker_view& aView,
                               const run_ref& aRun) const;
-  // For how long the run went on at least, by the last word from its worker.
-  // None: it isn't known to have begun, or an earlier leader started it.
+  // How long the run has run at least, by the last contact with its worker.
+  // None: it isn't known to have started, or an earlier leader started it.
   [[nodiscard]] static std::optional<duration> RanFor(
     const worker_view& aView,
     const worker_view::run_view& aRun);
@@ -276,7 +283,7 @@
   std::uint64_t mTerm;
   std::uint64_t mLastOrder;
   time_point mTickedAt;
-  time_point mLateAt{}; // when a tick last came late
+  time_point mLateAt{}; // when the last late tick came
   std::map<worker_number, worker_view> mViews;
   std::map<std::uint64_t, open_order> mOpen;
   std::vector<worker_order> mOrders;
--- a/oriolewalk/flow/worker_supervisor_answers.cc
+++ b/oriolewalk/flow/worker_supervisor_answers.cc
@@ -1,4 +1,4 @@
-// What the leader concludes from workers' answers.
+// The conclusions that the leader draws from workers' answers.
 
 #include <algorithm>
 #include <set>
@@ -12,9 +12,9 @@
 
 namespace {
 
-// A list of ends is cut off by the worker at this many.
+// A worker truncates its list of ends at this length.
 constexpr std::size_t kMostListedEnds = 500;
-// How long a worker that refused a start as unhealthy gets no other.
+// How long a worker that refused a start as unhealthy gets no other start.
 constexpr milliseconds kUnhealthyPause{ 1'000 };
 
 } // namespace
@@ -34,9 +34,9 @@
     return;
   }
   worker_view& view = found->second;
-  // Read as the life's that was asked, a later life's lists would give up runs
-  // that a start still on its way may bring, and its ends be measured by a
-  // cursor that isn't theirs. Its heartbeat will tell.
+  // If the lists of a later incarnation were applied to this one, runs would be
+  // dropped whose start may still arrive, and its ends would be compared with a
+  // cursor of another sequence. Its heartbeat will report the restart.
   const bool later = IsOfOtherLife(order.mWorker, aAnswer);
   if (later) {
     NoteOutlived(order.mWorker, view, aAnswer);
@@ -100,7 +100,7 @@
       return;
     case order_result::NoAnswer:
     case order_result::NotSent:
-      // A single order may be lost; a look without an answer says that the
+      // A single order may be lost; a poll without an answer means that the
       // worker can't be reached.
       if (std::holds_alternative<poll_order>(aOrder.mBody)) {
         aView.mFailedPollSentAt = aOrder.mSentAt;
@@ -108,7 +108,7 @@
           aView.mFailingSince = aOrder.mSentAt;
         }
         aView.mFailedPolls = IsOurDelay(aView) ? 0 : aView.mFailedPolls + 1;
-        aView.mShouldSendCursor = false; // it may be another process by now
+        aView.mShouldSendCursor = false; // another process may run there by now
       }
       return;
     default:
@@ -142,7 +142,7 @@
       return;
     case order_result::Superseded:
     case order_result::OtherIncarnation:
-      return; // another leader's, or a life that is over
+      return; // another leader took over, or the incarnation ended
     case order_result::TicketInvalid:
       mTicketsRefused.push_back({ aOrder.mRun, aWorker });
       why = "ticket";
@@ -223,8 +223,8 @@
       run->second.mPercent = listed.mPercent;
       run->second.mLoad = listed.mLoad;
     } else if (!mState.IsPlaced(listed.mRun, aWorker)) {
-      // Nobody waits for it: a start that came late, of an attempt that was
-      // given up since.
+      // The state doesn't hold this run: its start arrived late, after the
+      // attempt was dropped.
       Send(aWorker, stop_order{ listed.mRun }, false, aNow);
     }
   }
@@ -259,7 +259,7 @@
                               const order_answer& aAnswer)
 {
   if (aAnswer.mEnded.size() >= kMostListedEnds) {
-    return; // the rest comes with the next look
+    return; // the next poll shows the rest
   }
   std::set<run_ref> present;
   for (const listed_run& listed : aAnswer.mRunning) {
@@ -270,8 +270,8 @@
   }
   std::vector<run_ref> absent;
   for (const auto& [run, view] : aView.mRuns) {
-    // An earlier leader's start that is still under way carries a fence that
-    // this worker now refuses.
+    // An earlier leader's start that is still in flight has a fence that this
+    // worker now refuses.
     const bool mustShow = view.mInherited ||
                           (view.mStartedAt && *view.mStartedAt < aSentAt) ||
                           (view.mStoppedAt && *view.mStoppedAt < aSentAt);
@@ -310,8 +310,8 @@
   }
 }
 
-// Its number says that it is in the state already, and the state waits for it:
-// one of the two is wrong.
+// By its number the end is already in the state, but the state still holds the
+// run: one of the two is wrong.
 void
 worker_supervisor::NotePassedOver(const worker_record& aRecord,
                                   const listed_end& aListed)
--- a/oriolewalk/flow/worker_supervisor_losses.cc
+++ b/oriolewalk/flow/worker_supervisor_losses.cc
@@ -1,5 +1,6 @@
-// What the leader concludes of the runs at a worker that can't be reached, or
-// whose life is over without a farewell: which of them may have crashed it.
+// The conclusions that the leader draws about runs at a worker that is
+// unreachable, or whose incarnation ended without deregistration: which of them
+// may have crashed it.
 
 #include <algorithm>
 #include <map>
@@ -13,12 +14,15 @@
 
 namespace {
 
-// A task that crashes each worker that starts it does so at once; of a busy
-// worker each end of a run is a word from it.
+// A task that crashes every worker that starts it does so at once. A busy
+// worker makes contact at each end of a run, so the last contact before a crash
+// is recent.
 constexpr milliseconds kJustBegun{ 250 };
-// Longer than a heartbeat's pause, so that a sound worker is heard meanwhile.
+// Longer than the heartbeat interval, so that a healthy worker makes contact
+// within it.
 constexpr milliseconds kFresh{ 2'000 };
-// A task that lasts was sound for so long: a crash of its worker is not its.
+// A long-running task that has run for this long is not the cause of a crash of
+// its worker.
 constexpr milliseconds kProven{ 60'000 };
 
 std::vector<run_ref>
@@ -110,7 +114,7 @@
     NoteOver(aWorker, view, aKnownBy, aNow);
   }
   if (record->mDraining) {
-    return; // it left, and its farewell was lost
+    return; // it left, and its deregistration was lost
   }
   std::map<run_ref, duration> ages = view.mLostRunAges;
   record_worker_crash crash{ aWorker, {}, {} };
--- a/testing/flow/fake_group.cc
+++ b/testing/flow/fake_group.cc
@@ -68,7 +68,8 @@
   consensus::restored_state restored = made.mDisk.Content();
   restored.mMayVote = !made.mFresh;
   if (!made.mFresh) {
-    // The same first membership at every founder, whatever came later.
+    // Every initial member starts with the same membership, whatever changed
+    // later.
     for (std::size_t founder = 0; founder < mFounders; ++founder) {
       config.mInitialMembers.PutVoter(
         { Id(founder), "n" + std::to_string(founder), 0, false, std::nullopt });
@@ -135,7 +136,7 @@
 fake_group::Pump(std::size_t aNode)
 {
   process& one = mNodes[aNode];
-  constexpr int kMostRounds = 4; // applying makes proposals
+  constexpr int kMostRounds = 4; // applying entries makes proposals
   for (int round = 0; round < kMostRounds; ++round) {
     flow_effects out = one.mCore->TakeEffects(At());
     for (const consensus::message& message : out.mRaft.mMessages) {
@@ -178,8 +179,8 @@
   });
 }
 
-// A leader that is paused or killed on the way gets no answer; the worker
-// carries the order out all the same.
+// A leader that was killed or restarted since gets no answer; the worker
+// executes the order nevertheless.
 void
 fake_group::Order(std::size_t aFrom, const worker_order& aOrder)
 {
@@ -206,7 +207,7 @@
     return;
   }
   if (mRandom.Fraction() < mLateShare) {
-    // The worker's process holds it, and takes it along when it ends.
+    // The order is lost if the worker's process ends before it is executed.
     const std::int64_t born =
       mWorkers[worker].mWorker->Description().mProcessStartMs;
     At(kLeastLate + milliseconds(mRandom.Below(kLateSpanMs)),
@@ -235,7 +236,7 @@
       At(back, [answer, got]() { answer(got); });
     }
   });
-  if (there + back >= wait) { // given up; it is or was carried out all the same
+  if (there + back >= wait) { // timed out, but is executed nevertheless
     At(wait, [answer]() { answer(order_answer{}); });
   }
 }
@@ -251,9 +252,9 @@
     return worker.Handle(aOrder, mNow);
   }
   if (mRandom.Below(2) == 0) {
-    return {}; // over a connection to the former process, and lost with it
+    return {}; // sent over a connection to the former process, and lost with it
   }
-  // Over a new connection: the process that is there is asked who it is.
+  // Over a new connection, the current process is polled for its start time.
   worker_order question = aOrder;
   question.mProcessStartMs = 0;
   question.mLeaseClockMs.reset();
@@ -389,8 +390,8 @@
   one.mCore.reset();
   one.mReplies.clear();
   one.mPaused = false;
-  // What was written stays in a killed process's files; a power loss keeps a
-  // part of it.
+  // All writes stay in a killed process's files; a power loss keeps a part of
+  // the unsynced ones.
   const std::size_t unsynced = one.mDisk.Unsynced();
   one.mDisk.Crash(aLoseUnsynced ? mRandom.Below(unsynced + 1) : unsynced);
 }
@@ -408,7 +409,7 @@
 {
   process& one = mNodes[aNode];
   if (one.mCore == nullptr) {
-    // What its disk holds decides, as for the real process.
+    // The contents of its disk decide, as for the real process.
     const bool isEmpty =
       one.mDisk.Content().mHardState == consensus::hard_state{};
     one.mFresh = one.mDisk.IsWiped() || (aNode >= mFounders && isEmpty);
@@ -469,7 +470,7 @@
       }
     }
     if (!answer && std::holds_alternative<worker_heartbeat>(aRequest)) {
-      return std::nullopt; // it is answered in its own time
+      return std::nullopt; // it may be answered later
     }
     if (!answer) {
       Step();
--- a/testing/flow/fake_group.h
+++ b/testing/flow/fake_group.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Control processes and workers together, in one thread and in made time:
-// messages, syncs and orders take a millisecond or so, and may be cut, lost or
-// carried out late.
+// Control processes and workers in one thread and in simulated time. Messages,
+// syncs and orders take milliseconds, and may be blocked, lost or executed
+// late.
 
 #include <cstdint>
 #include <deque>
@@ -25,46 +25,51 @@
 class fake_group
 {
 public:
-  // aFounders of aNodes found the group; the others ask to be taken in.
+  // The first aInitialMembers of aNodes form the group; the others request to
+  // join.
   fake_group(std::size_t aNodes,
              std::size_t aFounders,
              std::uint64_t aSeed,
              std::size_t aMostVoters = 9,
              flow_options aOptions = {});
 
-  // Lets time pass, in steps of aStep.
+  // Advances the time by aFor, in steps of 5 ms.
   void Run(duration aFor);
-  // Until aDone, at most aAtMost. False: it didn't come to that.
+  // Runs until aDone() is true, for at most aAtMost. Returns whether it is.
   bool RunUntil(const std::function<bool()>& aDone, duration aAtMost);
 
   std::size_t AddWorker(const std::string& aId, double aSlow = 0);
-  // Its process starts again under its id, and says so aSilence later.
+  // Restarts its process under its id; the first heartbeat follows aSilence
+  // later.
   void RestartWorker(std::size_t aWorker, duration aSilence = {});
-  // A worker whose process has died is back after so long: under another id at
-  // its address, or under its id. Without this it stays away.
+  // Restarts each worker aDelay after its process died: under its id, or under
+  // another id at its address. Without this it stays down.
   void RestartCrashedWorkers(milliseconds aAway, bool aUnderTheirIds);
   void Kill(std::size_t aNode, bool aLoseUnsynced = false);
-  void Wipe(std::size_t aNode); // and kills
+  void Wipe(std::size_t aNode); // also kills the node
   void Restart(std::size_t aNode);
   void Pause(std::size_t aNode, bool aPaused);
-  // Cuts the node from the other control processes; workers still hear it.
+  // Partitions the node from the other control processes, not from the workers.
   void Cut(std::size_t aNode, bool aCut);
   void CutWorker(std::size_t aWorker, bool aCut);
-  // The share of orders that get no answer and are carried out up to 12 s
+  // Sets the share of orders that get no answer and are executed up to 12 s
   // later.
   void SetLateShare(double aShare) { mLateShare = aShare; }
-  // Orders and their answers wait up to this long each, at random, in the
-  // leader's queues and on the way; the worker carries out each one that comes.
+  // Delays each order and each answer by up to aMax, at random, as in the
+  // leader's queues and in transit. The worker executes every order that
+  // arrives.
   void SetOrderDelay(milliseconds aMost) { mOrderDelay = aMost; }
-  // Orders that aWhich picks wait on their way and get no answer, until
-  // ReleaseOrders() delivers them to whichever process is there by then: as
-  // with a carrier that stands still.
+  // Holds the orders that aWhich selects, without an answer, until
+  // ReleaseOrders() delivers them to whichever process is there by then. This
+  // simulates a relay that is suspended.
   void HoldOrders(std::function<bool(const worker_order&)> aWhich);
   void ReleaseOrders();
-  // How long a write to a disk takes.
+  // Sets how long a write to a disk takes.
   void SetSyncTime(milliseconds aSync) { mSync = aSync; }
 
-  // Asks all nodes in turn until one answers as the leader.
+  // Sends the request to the leader and runs until it is answered, except for a
+  // heartbeat, which may be answered later. None: no leader, or no answer in
+  // time.
   std::optional<flow_answer> SendRequest(const flow_request& aRequest);
   void Submit(const std::string& aId, std::vector<step_spec> aSteps);
   std::string StateOf(const std::string& aId);
@@ -85,7 +90,7 @@
   }
   [[nodiscard]] run_oracle& Oracle() { return mOracle; }
   [[nodiscard]] time_point Now() const { return mNow; }
-  // What was decided, by event, since the beginning.
+  // How many decisions with this event were logged since the beginning.
   [[nodiscard]] std::size_t Count(const std::string& aEvent) const;
 
 private:
@@ -115,9 +120,10 @@
   void Pump(std::size_t aNode);
   void Deliver(std::size_t aFrom, const consensus::message& aMessage);
   void Order(std::size_t aFrom, const worker_order& aOrder);
-  // What the worker's process makes of it now.
+  // Delivers the order to the worker's current process.
   order_answer Arrive(std::size_t aWorker, const worker_order& aOrder);
-  // False: the order's carrier can't be reached; the leader is told.
+  // Returns false if the order's relay can't be reached; the leader learns it
+  // later.
   bool HandOver(std::size_t aFrom, const worker_order& aOrder);
   void Beats();
   void Returns();
@@ -135,7 +141,8 @@
   std::multimap<time_point, std::function<void()>> mEvents;
   run_oracle mOracle;
   std::function<bool(const worker_order&)> mHoldsBack;
-  std::vector<std::pair<std::size_t, worker_order>> mHeld; // by worker
+  std::vector<std::pair<std::size_t, worker_order>>
+    mHeld; // with the worker's index
   std::optional<milliseconds> mAway;
   bool mBackUnderTheirIds = false;
   double mLateShare = 0;
--- a/testing/flow/fake_worker.cc
+++ b/testing/flow/fake_worker.cc
@@ -13,8 +13,8 @@
 
 constexpr std::int64_t kLongestLeaseMs = 6'000;
 constexpr milliseconds kCrashesAfter{ 10 };
-// A capacity that has shrunk binds leaders so much later: what the platform
-// allows for contact, and a heartbeat.
+// How long leaders may still use a capacity after it has shrunk: the time that
+// the platform allows for contact, and a heartbeat interval.
 constexpr milliseconds kShrinksAfter{ 4'500 };
 
 std::string
@@ -221,8 +221,8 @@
   std::vector<std::pair<run_ref, run_outcome>> over;
   const bool lapsed = ClockMs(aNow) >= mLeaseClockMs;
   if (lapsed) {
-    // What ended before the lapse and isn't acknowledged by then doesn't bind
-    // leaders any more: they could only have waited for the lapse.
+    // Ends that weren't acknowledged before the lease expired no longer bind
+    // leaders, which could only have waited for the lease to expire.
     for (const listed_end& end : mEnds) {
       mOracle.ExcuseEnd(end.mEnd.mRun);
     }
--- a/testing/flow/fake_worker.h
+++ b/testing/flow/fake_worker.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// A worker as leaders meet it: fences, leases on a clock of its own that may be
-// slow, attempts that a stop makes impossible, ends that stay listed until they
-// are acknowledged. It also judges: a start that breaks a promise is noted.
+// A simulated worker, with fences, leases on its own clock that may be slow,
+// stops that prevent an attempt, and ends that stay listed until they are
+// acknowledged. It reports its runs to a run_oracle, which records violated
+// guarantees.
 
 #include <cstdint>
 #include <functional>
@@ -18,7 +19,8 @@
 
 namespace oriolewalk::flow {
 
-// What all workers together have seen of the tasks. One thread.
+// Checks the guarantees on the runs of all workers together. Used on one
+// thread.
 class run_oracle
 {
 public:
@@ -26,10 +28,11 @@
   void OnEnded(const run_ref& aRun, run_outcome aHow);
   // A worker was told that it may forget the run's end.
   void OnEndAcknowledged(const run_ref& aRun);
-  // Its worker's lease lapsed between the end and its acknowledgement.
+  // Its worker's lease expired between the run's end and its acknowledgement,
+  // so the task may start again.
   void ExcuseEnd(const run_ref& aRun) { mExcused.insert(aRun); }
   void OnOverCapacity(const run_ref& aRun, const std::string& aWhere);
-  // The worker's process died while this ran there.
+  // The worker's process died while the run was there.
   void OnCrashed(const run_ref& aRun);
   [[nodiscard]] std::size_t CrashCount(const task_ref& aTask) const;
 
@@ -39,10 +42,10 @@
   }
   [[nodiscard]] std::size_t Starts() const { return mStarts; }
 
-  // Tasks that crash each worker that starts them: no such task may start three
-  // times more after three workers have crashed under it.
+  // Whether a task crashes each worker that starts it. Such a task may not
+  // start three more times after three workers have crashed under it.
   std::function<bool(const task_ref&)> mCrashesWorker;
-  // Who else wants to know.
+  // Optional callbacks.
   std::function<void(const run_ref&)> mOnStart;
   std::function<void(const run_ref&, run_outcome)> mOnEnd;
 
@@ -52,7 +55,8 @@
   std::set<run_ref> mExcused;
   std::set<task_ref> mDoneNoted;
   std::map<task_ref, std::size_t> mCrashes;
-  std::map<task_ref, std::size_t> mStartsAfter; // three crashes under the task
+  std::map<task_ref, std::size_t>
+    mStartsAfter; // after three crashes under the task
   std::vector<std::string> mBroken;
   std::size_t mStarts = 0;
 };
@@ -60,49 +64,50 @@
 class fake_worker
 {
 public:
-  // aSlow: by how much its clock runs slower than true time.
+  // aSlow: the fraction by which its clock runs slower than true time.
   fake_worker(worker_description aFacts, double aSlow, run_oracle& aOracle);
 
-  // What it would answer at aNow.
+  // Executes the order at aNow and returns the answer.
   order_answer Handle(const worker_order& aOrder, time_point aNow);
-  // Ends what is due: work that is done (or fails, for odd indices of
-  // attempt 1 if mFailsFirst), leases that lapse.
+  // Ends the runs that are due: those that are done (or fail, for odd indices
+  // of attempt 1 if mFailsFirstAttempts), and all when the lease has expired.
   void Advance(time_point aNow);
-  // Its process dies; everything on it is over, unlisted.
+  // Its process dies: all its runs are over, and their ends are not listed.
   void Crash(time_point aNow);
-  // A new process under the same id: it knows nothing of before, and its counts
-  // and its clock start anew.
+  // Starts a new process under the same id, without the state of the former
+  // one. Its sequence numbers and its clock start from zero.
   void Restart(time_point aNow);
-  // As Restart, under another id.
+  // Like Restart(), under another id.
   void RestartAs(const std::string& aId, time_point aNow);
   [[nodiscard]] std::int64_t ClockMs(time_point aNow) const;
   [[nodiscard]] const worker_description& Description() const { return mFacts; }
   [[nodiscard]] bool IsUp() const { return mUp; }
-  // Its capacity changes; its next heartbeat says so.
+  // Changes its capacity, which its next heartbeat reports.
   void SetCapacity(const cell::resources& aCapacity, time_point aNow);
 
   milliseconds mWorkTime{ 300 };
-  cell::resources mTaskSize; // of any task; for the booking judged here
+  cell::resources mTaskSize; // of every task; for the capacity check
   bool mFailsFirstAttempts = false;
   bool mDraining = false;
-  // It carries out an order late: the rule on its capacity doesn't bind it.
+  // It is executing a late order, for which its capacity is not checked.
   bool mHandlesLateOrder = false;
-  // Ends are forgotten only when a look names a higher cursor than all before
-  // it; else by each look that names one. A worker may do either.
+  // Ends are forgotten only when a poll sends a higher cursor than all polls
+  // before, instead of by each poll that sends one. A real worker may do
+  // either.
   bool mForgetsOnHigherCursor = false;
 
 private:
   struct live_run
   {
     time_point mDoneAt;
-    bool mCrashes = false; // at mDoneAt, and the worker with it
+    bool mCrashes = false; // at mDoneAt, together with the worker
   };
 
   order_answer Start(const start_order& aStart, time_point aNow);
   void End(const run_ref& aRun, run_outcome aHow);
   void Forget(std::uint64_t aCursor);
   void Die();
-  // Whether they are within its capacity, or what that was of late.
+  // Whether aUsed fits in its capacity, or in a recent one.
   [[nodiscard]] bool MayHold(const cell::resources& aUsed,
                              time_point aNow) const;
 
@@ -118,7 +123,7 @@
   std::uint64_t mLastEnd = 0;
   std::uint64_t mToldCursor = 0;
   time_point mClockZero{};
-  // Former capacities, and until when they held.
+  // Former capacities, with the time when each was replaced.
   std::vector<std::pair<time_point, cell::resources>> mFormer;
 };
 
--- a/testing/flow/flow_history.cc
+++ b/testing/flow/flow_history.cc
@@ -73,7 +73,8 @@
     return mChoose(aBound).value_or(0);
   }
 
-  // The first task of a job's first step, or all tasks of the step.
+  // Whether the task crashes its workers: it is the first of its job's first
+  // step, or all tasks of that step do.
   [[nodiscard]] bool IsCrashing(const task_ref& aTask) const
   {
     const auto found = mCrashing.find(aTask.mJob.Value());
@@ -117,7 +118,7 @@
   void Submit()
   {
     constexpr const char* kHex = "0123456789abcdef";
-    // Sent again under the id of one without an answer it would be that job,
+    // A job that reused the id of one without an answer would be the same job,
     // and crash as that one does.
     const std::size_t number = mTroubles.mCrashing ? mSent++ : mJobs.size();
     if (number >= 16) {
@@ -131,7 +132,7 @@
     second.mDependsOn = { 0 };
     constexpr std::uint64_t kCrashingOf = 5; // one job in five
     if (mTroubles.mCrashing && Choose(kCrashingOf) == 0) {
-      // A gang's members end together: all of them crash.
+      // The members of a gang end together, so all of them crash.
       mCrashing[id] = first.mGang || Choose(4) == 0;
     }
     const auto answer = mGroup.SendRequest(job_submission{
@@ -155,9 +156,9 @@
 
   void Kill() { mGroup.Kill(Choose(kNodes), Choose(2) == 0); }
 
-  // One disk at a time may be lost, and only while the others are there: up,
-  // and in the group. One that was silent for 20 s has been taken out of it; a
-  // disk lost before it is back in is a second loss.
+  // Only one disk is lost, and only while the other nodes are up and in the
+  // group. A node that was silent for 20 s has been removed from the group; a
+  // disk that is lost before it has rejoined is a second loss.
   void Wipe()
   {
     const std::size_t chosen = Choose(kNodes);
@@ -198,8 +199,8 @@
       AddWorker();
     }
   }
-  // A while passes before the new process is heard, or it is cut off and heard
-  // even later.
+  // The new process's first heartbeat is delayed, and even more if the worker
+  // is partitioned.
   void RestartWorker()
   {
     const std::size_t chosen = mWorkers[Choose(mWorkers.size())];
@@ -208,7 +209,7 @@
       mGroup.RestartWorker(chosen, milliseconds(100 * Choose(15)));
     }
   }
-  // Down to nothing, or up to what it was.
+  // Sets a capacity between nothing and the original one.
   void Resize()
   {
     fake_worker& chosen = mGroup.Worker(mWorkers[Choose(mWorkers.size())]);
@@ -221,7 +222,7 @@
   }
   void HoldOrders()
   {
-    const std::uint64_t kind = Choose(5); // four: of any kind
+    const std::uint64_t kind = Choose(5); // 4: of any kind
     mGroup.HoldOrders([kind](const worker_order& aOrder) {
       return kind == 4 || aOrder.mBody.index() == kind;
     });
@@ -240,7 +241,7 @@
   {
     const auto state = [&]() { return mGroup.StateOf(aId); };
     if (mCrashing.contains(aId)) {
-      // Each start takes until its worker is back.
+      // The next start must wait until the worker has restarted.
       mGroup.RunUntil(
         [&]() { return state() == "failed" || state() == "cancelled"; },
         seconds(60));
@@ -262,7 +263,7 @@
     if (aState == "cancelled") {
       return aCancelled;
     }
-    if (aState.empty()) { // it ended long ago, while others were waited for
+    if (aState.empty()) { // it ended while other jobs were awaited
       return !mCrashing.empty();
     }
     if (mCrashing.contains(aId)) {
@@ -331,9 +332,9 @@
   fake_group mGroup;
   std::vector<std::size_t> mWorkers;
   std::map<std::string, bool> mJobs; // whether a cancel was sent
-  // Jobs with tasks that crash their workers; whether all of a step do.
+  // Jobs with tasks that crash their workers; true if all tasks of the step do.
   std::map<std::string, bool> mCrashing;
-  std::size_t mSent = 0; // jobs, answered or not
+  std::size_t mSent = 0; // submitted jobs, answered or not
   bool mWiped = false;
   std::vector<action_function> mActions = {
     &player::LetTimePass, &player::LetTimePass, &player::LetTimePass,
--- a/testing/flow/flow_history.h
+++ b/testing/flow/flow_history.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A history of faults on a fake group, drawn from a source of choices, judged
-// by what its workers and callers see.
+// Plays a random history of faults on a fake_group, drawn from a source of
+// choices, and checks what its workers and callers see.
 
 #include <cstddef>
 #include <cstdint>
@@ -13,37 +13,27 @@
 
 namespace oriolewalk::flow {
 
-// A number below the bound; none when there are no more.
+// Returns a number below the bound, or none when the source is exhausted.
 using flow_choices =
   std::function<std::optional<std::uint64_t>(std::uint64_t aBound)>;
 
-// Plays aMost actions at most, then heals everything and waits. The first
-// promise that was broken, or nothing:
-// - no task runs twice at once, or starts after its end as done was noted;
-// - no start brings a worker over its capacity, or what that was of late;
-// - an accepted job that nobody cancelled ends as done (its tasks fail once at
-//   most), or as failed if two workers have crashed under one of its tasks, and
-//   is never unknown to a leader that answers;
-// - a task that crashes its workers isn't started three times more after three
-//   have crashed under it, and its job ends as failed.
-// aTroubles: what may befall it beside the usual. aOptions: how the group is
-// set up; with mWorkersAlone = 0 the leader's orders are carried by the others.
+// The faults of a history besides the usual ones.
 struct history_faults
 {
-  // The leader is busy at times: orders and answers take up to seconds, and a
-  // commit up to one.
+  // The leader is overloaded at times: orders and answers take up to seconds,
+  // and a commit up to one second.
   bool mBusy = false;
-  // Workers start again under their ids.
+  // Workers restart under their ids.
   bool mRestarts = false;
-  // Orders stand still on their way for seconds, and then go on.
+  // Orders are held in transit for seconds and then delivered.
   bool mHolds = false;
-  // Some tasks crash each worker that starts them; it is back after seconds.
+  // Some tasks crash each worker that starts them; it restarts after seconds.
   bool mCrashing = false;
   // Workers' capacities shrink and grow again.
   bool mShrinking = false;
 };
 
-// What befell the jobs of a history beside its promises.
+// Counts of what happened to the jobs of a history.
 struct history_counts
 {
   std::size_t mCrashingJobs = 0;   // with a task that crashes its workers
@@ -52,6 +42,18 @@
   std::size_t mFailedNormalJobs = 0;
 };
 
+// Plays up to aMaxActions actions, then heals all faults and waits. Returns the
+// first violation of these guarantees, or none:
+// - No task runs twice at once, or starts after its end as done was
+//   acknowledged.
+// - No start brings a worker over its capacity and over its recent ones.
+// - An accepted job that was not cancelled ends as done (its tasks fail once at
+//   most), or as failed if two workers have crashed under one of its tasks, and
+//   is never unknown to a leader that answers.
+// - A task that crashes its workers isn't started three more times after three
+//   have crashed under it, and its job ends as failed.
+// aOptions configures the group; with mMaxWorkersWithoutRelays = 0 relays make
+// the leader's calls.
 std::optional<std::string>
 PlayFlowHistory(const flow_choices& aChoose,
                 int aMost,
@@ -59,7 +61,7 @@
                 history_faults aTroubles = {},
                 history_counts* aAccount = nullptr);
 
-// The same, with all choices drawn from a seed.
+// Like PlayFlowHistory(), with all choices drawn from a seed.
 std::optional<std::string>
 PlayFlowSeed(std::uint64_t aSeed,
              int aMost,
--- a/testing/flow/heartbeat_aggregator_test.cc
+++ b/testing/flow/heartbeat_aggregator_test.cc
@@ -23,14 +23,14 @@
 
 } // namespace
 
-TEST_CASE("a heartbeat that says nothing new is told in a summary")
+TEST_CASE("a heartbeat that reports nothing new is sent in a summary")
 {
   heartbeat_aggregator desk;
   CHECK_FALSE(desk.TryAccept(Beat("w", 1), kStart));
   CHECK_FALSE(desk.TakeSummary(kStart));
   desk.OnAcknowledged(Beat("w", 1), kStart);
   CHECK(desk.TryAccept(Beat("w", 3), kStart));
-  CHECK(desk.TryAccept(Beat("w", 2), kStart)); // overtaken on its way
+  CHECK(desk.TryAccept(Beat("w", 2), kStart)); // arrives out of order
   const auto summary = desk.TakeSummary(kStart);
   REQUIRE(summary);
   REQUIRE(summary->mDigests.size() == 1);
@@ -38,14 +38,14 @@
   CHECK(summary->mDigests[0].mClockMs == 3'000);
 }
 
-TEST_CASE("summaries go one at a time, a quarter second apart")
+TEST_CASE("summaries are sent one at a time, a quarter second apart")
 {
   heartbeat_aggregator desk;
   desk.OnAcknowledged(Beat("w", 1), kStart);
   CHECK(desk.TryAccept(Beat("w", 2), kStart));
   CHECK(desk.TakeSummary(kStart));
   CHECK(desk.TryAccept(Beat("w", 3), kStart));
-  CHECK_FALSE(desk.TakeSummary(kStart + milliseconds(300))); // under way
+  CHECK_FALSE(desk.TakeSummary(kStart + milliseconds(300))); // in flight
   desk.OnSummaryAccepted({}, kStart + milliseconds(300));
   CHECK(desk.TakeSummary(kStart + milliseconds(300)));
   desk.OnSummaryFailed();
@@ -53,10 +53,10 @@
   CHECK_FALSE(desk.TakeSummary(kStart + milliseconds(310)));
 }
 
-TEST_CASE("a summary tells of the newest life, whatever its number")
+TEST_CASE("a summary reports the newest incarnation, whatever its number")
 {
-  // A worker has started again under its id and numbers its heartbeats anew.
-  // Were the higher number told, the new process would seem silent.
+  // Guards against a restarted worker that seems silent: its heartbeat numbers
+  // restart, and the higher number of its former process is reported.
   heartbeat_aggregator desk;
   worker_heartbeat before = Beat("w", 40);
   before.mDescription.mProcessStartMs = 1'000;
@@ -65,7 +65,7 @@
   desk.OnAcknowledged(before, kStart);
   CHECK(desk.TryAccept(before, kStart));
   CHECK_FALSE(
-    desk.TryAccept(after, kStart)); // the leader must hear of the restart
+    desk.TryAccept(after, kStart)); // the leader must learn of the restart
   desk.OnAcknowledged(after, kStart);
   CHECK(desk.TryAccept(after, kStart));
   const auto summary = desk.TakeSummary(kStart);
@@ -74,10 +74,11 @@
   CHECK(summary->mDigests[0].mSequence == 2);
 }
 
-TEST_CASE("whatever changes goes to the leader by itself")
+TEST_CASE("a heartbeat with a change goes to the leader individually")
 {
-  // A worker says that it drains. Answered from here it would believe that the
-  // leader knows, and be given work that ends with it.
+  // Guards against runs that end with a draining worker: the worker's heartbeat
+  // is answered here, the leader doesn't learn that it drains, and places new
+  // runs there.
   heartbeat_aggregator desk;
   desk.OnAcknowledged(Beat("w", 1), kStart);
   worker_heartbeat drains = Beat("w", 2);
@@ -89,10 +90,10 @@
   CHECK_FALSE(desk.TryAccept(Beat("ww", 1), kStart));
 }
 
-TEST_CASE("a worker that the leader forgot is made known anew")
+TEST_CASE("a worker that the leader has removed is registered again")
 {
-  // The leader took it out after a long silence. Its heartbeats are answered
-  // here all the while: unless the leader's word counts, it never gets work.
+  // Guards against a worker that never gets work: the leader removed it after a
+  // long silence, but its heartbeats are still answered here.
   heartbeat_aggregator desk;
   desk.OnAcknowledged(Beat("w", 1), kStart);
   CHECK(desk.TryAccept(Beat("w", 2), kStart));
@@ -102,7 +103,7 @@
   CHECK_FALSE(desk.TryAccept(Beat("w", 3), kStart));
 }
 
-TEST_CASE("a process that is cut off from the leader holds no workers")
+TEST_CASE("a process partitioned from the leader accepts no heartbeats")
 {
   heartbeat_aggregator desk;
   desk.OnAcknowledged(Beat("w", 1), kStart);
--- a/testing/flow/restarted_worker_test.cc
+++ b/testing/flow/restarted_worker_test.cc
@@ -9,8 +9,8 @@
 #include "testing/flow/fake_group.h"
 #include "testing/flow/fixtures.h"
 
-// Workers that start again under their ids: the new process knows nothing of
-// before, and its counts and its clock start anew.
+// Workers that restart under their ids: the new process has no state of the
+// former one, and its sequence numbers and its clock start from zero.
 
 namespace oriolewalk::flow {
 
@@ -38,7 +38,7 @@
   return hold != nullptr && hold->mCursor > 0;
 }
 
-// One worker that has done twelve tasks, so that its cursor is at 12.
+// One worker that has finished twelve tasks, so that its cursor is at 12.
 struct worked_scene
 {
   fake_group mGroup;
@@ -60,7 +60,8 @@
                            aWithin);
   }
 
-  // Each task of a further job starts once, and the job ends as done.
+  // Checks that each task of another job starts once and that the job ends as
+  // done.
   void CheckNextJob()
   {
     const std::size_t before = mGroup.Oracle().Starts();
@@ -73,7 +74,7 @@
 
 } // namespace
 
-TEST_CASE("ends of a worker that started again count, and only once")
+TEST_CASE("ends at a restarted worker are counted exactly once")
 {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (const bool onRise : { false, true }) {
@@ -86,10 +87,10 @@
   }
 }
 
-TEST_CASE("a worker that started again is heard at once")
+TEST_CASE("heartbeats of a restarted worker count at once")
 {
-  // Its heartbeats are numbered anew as well. Passed over until they reach the
-  // old number, they leave a worker that says that it is there without work.
+  // Guards against a live worker without work: its heartbeat numbers restart as
+  // well, and its heartbeats are ignored until they reach the old number.
   worked_scene scene(1, false);
   scene.mGroup.Run(seconds(30));
   scene.mGroup.RestartWorker(0);
@@ -97,10 +98,10 @@
   scene.CheckNextJob();
 }
 
-TEST_CASE("what ran when its worker started again runs again at once")
+TEST_CASE("runs that a restart ended start again at once")
 {
-  // The former process's lease need not lapse: the next one shows that nothing
-  // runs there.
+  // The former process's lease need not expire: the new process shows that
+  // nothing runs there.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
     worked_scene scene(seed, seed % 2 == 0);
@@ -115,12 +116,12 @@
   }
 }
 
-TEST_CASE("ends count that come before the leader knows of the restart")
+TEST_CASE("ends count that arrive before the leader learns of the restart")
 {
-  // The new process's first heartbeat is late. Meanwhile it is sent starts, and
-  // looks that name the cursor of the process before: it forgets ends that
-  // nobody has taken down, or lists them to a leader that measures them by that
-  // cursor.
+  // Guards against lost ends: the new process's first heartbeat is late. Until
+  // then it gets starts, and polls with the cursor of its former process. It
+  // forgets ends that weren't recorded, or lists them to a leader that compares
+  // them with that cursor.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (const bool onRise : { false, true }) {
       CAPTURE(seed, onRise);
@@ -131,11 +132,12 @@
   }
 }
 
-TEST_CASE("what an earlier life said counts for it alone")
+TEST_CASE("late messages of an earlier incarnation are ignored")
 {
-  // A heartbeat and a farewell of the process before were held up on their way
-  // and arrive when the next one has work. Taken for its own, the heartbeat
-  // would empty it, and the farewell would start its tasks a second time.
+  // Guards against tasks that start a second time: a heartbeat and a
+  // deregistration of the former process are delayed and arrive when the new
+  // one has runs. Applied to the new process, the heartbeat would drain it, and
+  // the deregistration would drop its runs.
   worked_scene scene(1, false);
   const worker_description earlier = scene.mGroup.Worker(0).Description();
   scene.mGroup.RestartWorker(0);
@@ -148,11 +150,12 @@
   scene.mGroup.SendRequest(
     worker_deregistration{ earlier.mId, earlier.mProcessStartMs });
   scene.mGroup.SendRequest(
-    worker_deregistration{ earlier.mId, 0 }); // it doesn't say whose
+    worker_deregistration{ earlier.mId, 0 }); // names no process
   CHECK(scene.EndsAsDone(kAfter, seconds(4)));
   CHECK(scene.mGroup.Oracle().Starts() == before + 4);
   CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
-  // Its own count, and a farewell that doesn't say whose of one that drains.
+  // The current process's heartbeats count, and so does a deregistration that
+  // names no process while the worker drains.
   const worker_description own = scene.mGroup.Worker(0).Description();
   const auto isKnown = [&]() {
     return scene.mGroup.Core(*scene.mGroup.Leader())
@@ -168,9 +171,9 @@
 
 TEST_CASE("a task starts nowhere else while a restarted worker may run it")
 {
-  // A start is on its way when its worker starts again, and the new process
-  // carries it out: it can't tell for whom it was meant. The leader learns of
-  // the restart later.
+  // Guards against a task that runs twice: a start is in flight when its worker
+  // restarts, and the new process executes it because it can't tell which
+  // process it was meant for. The leader learns of the restart later.
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     fake_group group(3, 3, seed);
@@ -188,10 +191,10 @@
   }
 }
 
-TEST_CASE("a worker's next process forgets no end for a cursor of the last one")
+TEST_CASE("a restarted worker forgets no end by a cursor of its last process")
 {
-  // Guards against tasks that start again after they ended as done: a look with
-  // the cursor arrives when the next process has ended tasks of its own.
+  // Guards against tasks that start again after they ended as done: a poll with
+  // the cursor arrives when the new process has ended tasks of its own.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (const bool onRise : { false, true }) {
       CAPTURE(seed, onRise);
@@ -212,11 +215,11 @@
   }
 }
 
-TEST_CASE("no lease reckoned by a worker's last process outlasts its run")
+TEST_CASE("a new process accepts no lease on its former process's clock")
 {
-  // Guards against a task that runs twice at once: the next process, whose
-  // clock is near zero, takes a start with a lease by the last one's clock for
-  // the longest lease, and is cut off before it was heard.
+  // Guards against a task that runs twice at once: the new process, whose clock
+  // is near zero, accepts a start with a lease on its former process's clock as
+  // the longest lease, and is partitioned before its first heartbeat.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
     worked_scene scene(seed, false);
@@ -233,11 +236,11 @@
   }
 }
 
-TEST_CASE("a start that its carrier held reaches no later process")
+TEST_CASE("a start that its relay delayed reaches no later process")
 {
-  // Guards against a task that runs twice at once: a carrier goes on after
-  // seconds and sends a start that was given up to a process that started
-  // meanwhile, which has seen no fence.
+  // Guards against a task that runs twice at once: a relay resumes after
+  // seconds and sends a dropped start to a process that has started since and
+  // has seen no fence.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
     flow_options options;
@@ -261,9 +264,9 @@
   }
 }
 
-TEST_CASE("a stop that its carrier held keeps no task from a later process")
+TEST_CASE("a stop that its relay delayed blocks no task on a later process")
 {
-  // Guards against a leader that waits for ever for a run that the next process
+  // Guards against a leader that waits forever for a run that the new process
   // refuses.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
--- a/testing/flow/worker_supervisor_test.cc
+++ b/testing/flow/worker_supervisor_test.cc
@@ -20,7 +20,7 @@
 using testing::Step;
 using testing::Worker;
 
-// One worker, one job, and a keeper whose orders the test answers by hand.
+// One worker, one job, and a supervisor whose orders the test answers by hand.
 struct keeper_scene
 {
   state_builder mMade;
@@ -52,7 +52,7 @@
     }
   }
 
-  // The oldest order of that kind that wasn't taken yet.
+  // Removes and returns the oldest order of that kind.
   template<class Body>
   std::optional<worker_order> Next()
   {
@@ -91,7 +91,7 @@
     return answer;
   }
 
-  // The first look under this fence.
+  // Answers the first poll under this fence.
   void Sync()
   {
     Advance(milliseconds(10));
@@ -107,7 +107,7 @@
     return run;
   }
 
-  // Its start is answered as done, and the next look is on its way.
+  // The start is answered as done, and the next poll is in flight.
   run_ref BeginRunning()
   {
     run_ref run = Begin();
@@ -129,10 +129,11 @@
 
 } // namespace
 
-TEST_CASE("how far a run had come is kept before its worker is taken out")
+TEST_CASE("a run's checkpoint is saved before its worker is removed")
 {
-  // The worker dies and lists no end. Its last look showed a checkpoint: if it
-  // isn't committed before the worker goes, the task begins anew.
+  // Guards against a task that restarts from the beginning: its worker dies
+  // without listing an end, and the checkpoint from the last poll isn't
+  // committed before the worker is removed.
   keeper_scene scene;
   scene.Sync();
   const run_ref run = scene.BeginRunning();
@@ -152,9 +153,10 @@
   CHECK(std::holds_alternative<remove_worker>(scene.mCommands[2]));
 }
 
-TEST_CASE("the log tells what ran at a worker whose life is over")
+TEST_CASE("the log shows what ran at a worker whose incarnation ended")
 {
-  // Guards against a crash that leaves no line on the runs that were there.
+  // Guards against a crash that leaves no log line about the runs that were
+  // there.
   keeper_scene scene;
   scene.Sync();
   const run_ref run = scene.BeginRunning();
@@ -178,12 +180,12 @@
         1);
 }
 
-TEST_CASE("an answer to an earlier term's order says nothing of this one's")
+TEST_CASE("an answer to an order of an earlier term is ignored")
 {
-  // A process leads, loses its place and leads again while a look of its first
-  // term waits at a worker. Its answer lists that worker's runs of then; taken
-  // for an answer to an order of the new term, what runs now would look gone,
-  // and be started a second time elsewhere.
+  // Guards against tasks that start a second time elsewhere: a process leads,
+  // loses leadership and leads again while a poll of its first term waits at a
+  // worker. The answer lists the worker's runs of that time; matched to an
+  // order of the new term, it would show the current runs as absent.
   keeper_scene scene;
   scene.Advance(milliseconds(10));
   const worker_order earlier = *scene.Next<poll_order>();
@@ -198,11 +200,11 @@
   CHECK_FALSE(next.IsUsable(scene.mWorker, scene.mNow));
 }
 
-TEST_CASE("a look that may be older than a start says nothing of it")
+TEST_CASE("a poll sent before a start was answered drops no run")
 {
-  // Answers on two connections overtake each other: a look that was sent
-  // before the start was answered may not show it yet. Were that taken for its
-  // end, the task would start a second time elsewhere.
+  // Guards against a task that starts a second time elsewhere: answers on two
+  // connections overtake each other, and a poll that was sent before the start
+  // was answered may not show the run yet.
   keeper_scene scene;
   scene.Sync();
   const run_ref run = scene.Begin();
@@ -217,11 +219,12 @@
   CHECK(scene.IsDropped(run));
 }
 
-TEST_CASE("a start without an answer is taken back before its task goes on")
+TEST_CASE("an unanswered start is withdrawn before its task starts again")
 {
-  // The worker leaves the order unanswered and carries it out seconds later.
-  // The stop makes the attempt impossible there; only when it was answered and
-  // a later look shows nothing may the task start elsewhere.
+  // Guards against a task that runs twice: the worker leaves the order
+  // unanswered and executes it seconds later. The stop prevents the attempt
+  // there; the task may start elsewhere only after the stop was answered and a
+  // later poll doesn't show the run.
   keeper_scene scene;
   scene.Sync();
   const run_ref run = scene.Begin();
@@ -252,7 +255,7 @@
   CHECK(scene.IsDropped(run));
 }
 
-TEST_CASE("a start without an answer that a look shows goes on")
+TEST_CASE("an unanswered start whose run a poll shows is kept")
 {
   keeper_scene scene;
   scene.Sync();
@@ -263,12 +266,12 @@
   scene.Answer(*scene.Next<poll_order>(), keeper_scene::Showing({ run }));
   scene.Advance(scene.mOptions.mStartTimeout + milliseconds(20));
   CHECK_FALSE(scene.Next<stop_order>());
-  // And if a later look doesn't show it, it is over.
+  // If a later poll doesn't show the run, it is dropped.
   scene.Answer(*scene.Next<poll_order>(), keeper_scene::Showing({}));
   CHECK(scene.IsDropped(run));
 }
 
-TEST_CASE("a refused start frees its task at once")
+TEST_CASE("a refused start drops its run at once")
 {
   keeper_scene scene;
   scene.Sync();
@@ -279,14 +282,15 @@
   CHECK(scene.mKeeper.TakeTicketRefusals().size() == 1);
 }
 
-TEST_CASE("work on a worker that can't be reached waits for the lapse")
+TEST_CASE("runs on an unreachable worker are kept until their lease is over")
 {
-  // The worker is cut off and runs on. Its work may start elsewhere only when
-  // its lease is over on a clock that may be slow; and a look that might still
-  // reach it must not renew the lease.
+  // Guards against a task that runs twice: the worker is partitioned and its
+  // runs go on. They may start elsewhere only when the lease is over on a clock
+  // that may be slow, and a poll that might still reach the worker must not
+  // renew the lease.
   keeper_scene scene;
   scene.Sync();
-  scene.Advance(seconds(7)); // whatever an earlier leader gave is over
+  scene.Advance(seconds(7)); // leases of an earlier leader are over
   const run_ref run = scene.BeginRunning();
   const worker_order first = *scene.Next<poll_order>();
   CHECK(first.mLeaseClockMs);
@@ -305,11 +309,11 @@
   CHECK(scene.IsDropped(run));
 }
 
-TEST_CASE("a late leader gives up no run of a worker that it hears")
+TEST_CASE("a delayed leader drops no run of a worker in contact")
 {
   // Guards against tasks that start again after their end as done was listed:
-  // the leader has no time to read the answers, and takes its own delay for the
-  // worker's silence.
+  // the leader has no time to read the answers, and mistakes its own delay for
+  // the worker's silence.
   enum class heartbeats : std::uint8_t
   {
     None,
@@ -352,10 +356,10 @@
   }
 }
 
-TEST_CASE("a new leader takes over what runs, and gives up what doesn't")
+TEST_CASE("a new leader inherits runs that a poll shows and drops the others")
 {
-  // The old leader committed two starts and died; one had reached the worker.
-  // Under the new fence the other can't start any more.
+  // The old leader committed two starts and died, and one of them reached the
+  // worker. Under the new fence the other can no longer start.
   keeper_scene scene;
   const run_ref runs = state_builder::Run(scene.mJob, 1, 0);
   const run_ref never = state_builder::Run(scene.mJob, 1, 1);
@@ -394,10 +398,10 @@
   CHECK(dropped());
 }
 
-TEST_CASE("an end is forgotten by its worker only when it is in the state")
+TEST_CASE("an end is acknowledged to its worker only when it is committed")
 {
-  // Acknowledging an end that is then lost with the leader would start a
-  // finished task again.
+  // Guards against a finished task that starts again: its end is acknowledged
+  // and then lost with the leader.
   keeper_scene scene;
   scene.Sync();
   const run_ref run = scene.BeginRunning();
@@ -406,7 +410,7 @@
   scene.Answer(*scene.Next<poll_order>(), ended);
   REQUIRE(scene.mCommands.size() == 1);
   scene.Advance(milliseconds(500));
-  CHECK_FALSE(scene.Next<poll_order>()); // nothing is told meanwhile
+  CHECK_FALSE(scene.Next<poll_order>()); // no poll until the ends are applied
   scene.mMade.Apply(scene.mCommands[0]);
   scene.mKeeper.OnEndsApplied(scene.mWorker, scene.mNow);
   scene.Advance(milliseconds(10));
@@ -415,11 +419,12 @@
   CHECK(std::get<poll_order>(look->mBody).mCursor == 3);
 }
 
-TEST_CASE("the lists of a later life say nothing of an earlier one's runs")
+TEST_CASE("a later incarnation's lists drop no run of an earlier one")
 {
-  // The worker has started again under its id, and its first heartbeat is on
-  // the way. Its lists show none of the runs that a start still on its way may
-  // bring; taken for the former life's, their tasks start elsewhere at once.
+  // Guards against a task that runs twice: the worker has restarted under its
+  // id, and its first heartbeat is in transit. Its lists don't show runs whose
+  // start is still in flight; applied to the former incarnation, they would let
+  // those tasks start elsewhere at once.
   keeper_scene scene;
   scene.Sync();
   const run_ref run = scene.Begin();
@@ -431,7 +436,7 @@
   scene.mKeeper.OnRegistered(scene.mWorker, scene.mNow);
   scene.mSeen.clear();
   order_answer later = keeper_scene::Showing({});
-  later.mProcessStartMs = 12'000; // and once more since
+  later.mProcessStartMs = 12'000; // it has restarted again since
   for (int looks = 0; looks < 3; ++looks) {
     scene.Advance(scene.mOptions.mPollRetryDelay + milliseconds(20));
     const auto look = scene.Next<poll_order>();
@@ -450,11 +455,11 @@
   CHECK(scene.IsDropped(run));
 }
 
-TEST_CASE("a cursor is named only where its ends are still listed")
+TEST_CASE("the cursor is sent only while its ends are still listed")
 {
-  // A worker may start again at any moment, and would forget ends of its own up
-  // to a cursor that was counted at the process before. So it is told of ends
-  // right after it listed them, and not again and again.
+  // Guards against lost ends: a worker may restart at any moment, and the new
+  // process would forget ends of its own up to a cursor of its former process.
+  // So the cursor is sent only right after the worker listed the ends.
   keeper_scene scene;
   scene.Sync();
   const run_ref run = scene.BeginRunning();
@@ -473,13 +478,14 @@
     return named;
   };
   CHECK(cursorOfNext(keeper_scene::With(order_result::NoAnswer)) == 3);
-  // That look may have been lost, or its worker: it must list them once more.
+  // That poll or its worker may have been lost, so the worker must list the
+  // ends again.
   CHECK(cursorOfNext(ended) == 0);
   CHECK(cursorOfNext(keeper_scene::Showing({ next })) == 3);
   CHECK(cursorOfNext(keeper_scene::Showing({ next })) == 0);
 }
 
-TEST_CASE("another life at the address ends the old one")
+TEST_CASE("another incarnation at the address ends the old one")
 {
   keeper_scene scene;
   scene.Sync();
@@ -492,7 +498,7 @@
   CHECK(std::get<remove_worker>(scene.mCommands[1]).mWorker == scene.mWorker);
 }
 
-TEST_CASE("a run that nobody waits for is stopped")
+TEST_CASE("a run that the state doesn't hold is stopped")
 {
   keeper_scene scene;
   scene.Sync();
--- a/testing/histories/main.cc
+++ b/testing/histories/main.cc
@@ -1,5 +1,6 @@
 // Plays random histories of faults over a range of seeds, and prints those that
-// break a promise. Exit code: 0 none did, 1 some did, 2 wrong arguments.
+// violate a guarantee. Exit code: 0 if none did, 1 if some did, 2 for invalid
+// arguments.
 
 #include <algorithm>
 #include <array>
@@ -121,7 +122,7 @@
   aAll.mFailedNormalJobs += aOne.mFailedNormalJobs;
 }
 
-// Returns how many broke a promise.
+// Returns how many violated a guarantee.
 std::uint64_t
 Hunt(const hunt_options& aOptions, flow::history_counts& aAccount)
 {
