--- a/oriolewalk/flow/heartbeat_aggregator.cc
+++ b/oriolewalk/flow/heartbeat_aggregator.cc
@@ -9,10 +9,10 @@
 
 // A sixth of the usual heartbeat interval, so a worker's silence is noticed as
 // soon as if it called the leader itself.
-constexpr milliseconds kSummaryEvery{ 250 };
+constexpr milliseconds kSummaryInterval{ 250 };
 // After four summaries without an answer, heartbeats are sent to the current
 // leader.
-constexpr milliseconds kLeaderSilence{ 1'000 };
+constexpr milliseconds kLeaderTimeout{ 1'000 };
 // A worker that no longer calls this process is forgotten after the time for
 // which a leader keeps a silent worker.
 constexpr milliseconds kForgetAfter{ 20'000 };
@@ -22,63 +22,65 @@
 bool
 heartbeat_aggregator::IsAggregating(time_point aNow) const
 {
-  return mLeaderHeardAt != time_point::min() &&
-         aNow < mLeaderHeardAt + kLeaderSilence;
+  return mLastLeaderContactAt != time_point::min() &&
+         aNow < mLastLeaderContactAt + kLeaderTimeout;
 }
 
 bool
-heartbeat_aggregator::TryAccept(const worker_heartbeat& aBeat, time_point aNow)
+heartbeat_aggregator::TryAccept(const worker_heartbeat& aHeartbeat,
+                                time_point aNow)
 {
-  const auto found = mKnown.find(aBeat.mDescription.mId);
-  if (!IsAggregating(aNow) || found == mKnown.end() ||
-      found->second.mFacts != aBeat.mDescription ||
-      found->second.mDraining != aBeat.mDraining) {
+  const auto found = mKnownWorkers.find(aHeartbeat.mDescription.mId);
+  if (!IsAggregating(aNow) || found == mKnownWorkers.end() ||
+      found->second.mDescription != aHeartbeat.mDescription ||
+      found->second.mDraining != aHeartbeat.mDraining) {
     return false;
   }
-  found->second.mBeatAt = aNow;
-  heartbeat_digest& note = mNotes[aBeat.mDescription.mId];
+  found->second.mHeartbeatAt = aNow;
+  heartbeat_digest& digest = mDigests[aHeartbeat.mDescription.mId];
   // A later incarnation restarts its heartbeat numbers.
-  if (std::pair(aBeat.mDescription.mProcessStartMs, aBeat.mSequence) >=
-      std::pair(note.mProcessStartMs, note.mSequence)) {
-    note = { aBeat.mDescription.mId,
-             aBeat.mDescription.mProcessStartMs,
-             aBeat.mSequence,
-             aBeat.mClockMs };
+  if (std::pair(aHeartbeat.mDescription.mProcessStartMs,
+                aHeartbeat.mSequence) >=
+      std::pair(digest.mProcessStartMs, digest.mSequence)) {
+    digest = { aHeartbeat.mDescription.mId,
+               aHeartbeat.mDescription.mProcessStartMs,
+               aHeartbeat.mSequence,
+               aHeartbeat.mClockMs };
   }
   return true;
 }
 
 void
-heartbeat_aggregator::OnAcknowledged(const worker_heartbeat& aBeat,
+heartbeat_aggregator::OnAcknowledged(const worker_heartbeat& aHeartbeat,
                                      time_point aNow)
 {
-  mKnown[aBeat.mDescription.mId] = { aBeat.mDescription,
-                                     aBeat.mDraining,
-                                     aNow };
-  mLeaderHeardAt = aNow;
+  mKnownWorkers[aHeartbeat.mDescription.mId] = { aHeartbeat.mDescription,
+                                                 aHeartbeat.mDraining,
+                                                 aNow };
+  mLastLeaderContactAt = aNow;
 }
 
 void
 heartbeat_aggregator::Forget(const worker_id& aId)
 {
-  mKnown.erase(aId);
-  mNotes.erase(aId);
+  mKnownWorkers.erase(aId);
+  mDigests.erase(aId);
 }
 
 std::optional<heartbeat_summary>
 heartbeat_aggregator::TakeSummary(time_point aNow)
 {
-  if (mUnderWay || mNotes.empty() || aNow < mNextSummary) {
+  if (mIsSummaryInFlight || mDigests.empty() || aNow < mNextSummaryAt) {
     return std::nullopt;
   }
-  mNextSummary = aNow + kSummaryEvery;
-  mUnderWay = true;
+  mNextSummaryAt = aNow + kSummaryInterval;
+  mIsSummaryInFlight = true;
   heartbeat_summary summary;
-  for (auto& [id, note] : std::exchange(mNotes, {})) {
-    summary.mDigests.push_back(std::move(note));
+  for (auto& [id, digest] : std::exchange(mDigests, {})) {
+    summary.mDigests.push_back(std::move(digest));
   }
-  std::erase_if(mKnown, [&](const auto& aEntry) {
-    return aNow >= aEntry.second.mBeatAt + kForgetAfter;
+  std::erase_if(mKnownWorkers, [&](const auto& aEntry) {
+    return aNow >= aEntry.second.mHeartbeatAt + kForgetAfter;
   });
   return summary;
 }
@@ -87,8 +89,8 @@
 heartbeat_aggregator::OnSummaryAccepted(std::span<const worker_id> aUnknown,
                                         time_point aNow)
 {
-  mUnderWay = false;
-  mLeaderHeardAt = aNow;
+  mIsSummaryInFlight = false;
+  mLastLeaderContactAt = aNow;
   std::ranges::for_each(aUnknown,
                         [this](const worker_id& aId) { Forget(aId); });
 }
@@ -98,7 +100,7 @@
 void
 heartbeat_aggregator::OnSummaryFailed()
 {
-  mUnderWay = false;
+  mIsSummaryInFlight = false;
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/heartbeat_aggregator.h
+++ b/oriolewalk/flow/heartbeat_aggregator.h
@@ -37,9 +37,9 @@
 {
 public:
   // Returns false if the heartbeat must be sent to the leader.
-  bool TryAccept(const worker_heartbeat& aBeat, time_point aNow);
+  bool TryAccept(const worker_heartbeat& aHeartbeat, time_point aNow);
   // The leader has acknowledged this heartbeat and accepts summaries.
-  void OnAcknowledged(const worker_heartbeat& aBeat, time_point aNow);
+  void OnAcknowledged(const worker_heartbeat& aHeartbeat, time_point aNow);
   // Called when the worker has deregistered.
   void Forget(const worker_id& aId);
   // Returns at most one summary every quarter second, and none while one is in
@@ -55,16 +55,16 @@
 private:
   struct known_worker
   {
-    worker_description mFacts;
+    worker_description mDescription;
     bool mDraining = false;
-    time_point mBeatAt{};
+    time_point mHeartbeatAt{};
   };
 
-  std::map<worker_id, known_worker> mKnown;
-  std::map<worker_id, heartbeat_digest> mNotes;
-  bool mUnderWay = false;
-  time_point mNextSummary{};
-  time_point mLeaderHeardAt = time_point::min();
+  std::map<worker_id, known_worker> mKnownWorkers;
+  std::map<worker_id, heartbeat_digest> mDigests;
+  bool mIsSummaryInFlight = false;
+  time_point mNextSummaryAt{};
+  time_point mLastLeaderContactAt = time_point::min();
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/worker_supervisor.cc
+++ b/oriolewalk/flow/worker_supervisor.cc
@@ -22,18 +22,18 @@
 // Whether the order renews no lease and acknowledges no ends, so that any
 // process that receives it only reports its state.
 bool
-IsPlainLook(const worker_order& aOrder)
+IsReadOnlyPoll(const worker_order& aOrder)
 {
-  const auto* hold = std::get_if<poll_order>(&aOrder.mBody);
-  return hold != nullptr && hold->mCursor == 0 && !aOrder.mLeaseClockMs;
+  const auto* poll = std::get_if<poll_order>(&aOrder.mBody);
+  return poll != nullptr && poll->mCursor == 0 && !aOrder.mLeaseClockMs;
 }
 
 duration
-Stretch(duration aSpan, double aBySlow)
+Stretch(duration aSpan, double aMaxDrift)
 {
   return std::chrono::duration_cast<duration>(
     std::chrono::duration<double, std::nano>(
-      static_cast<double>(aSpan.count()) / (1.0 - aBySlow)));
+      static_cast<double>(aSpan.count()) / (1.0 - aMaxDrift)));
 }
 
 } // namespace
@@ -46,11 +46,11 @@
   : mState(aState)
   , mOptions(aOptions)
   , mTerm(aTerm)
-  , mLastOrder(OrderIdBase(aTerm))
-  , mTickedAt(aNow)
+  , mLastOrderId(OrderIdBase(aTerm))
+  , mLastTickAt(aNow)
 {
   for (const auto& [number, worker] : mState.Workers()) {
-    worker_view& view = mViews[number] = TakeOver(number, aNow);
+    worker_view& view = mViews[number] = MakeInheritedView(number, aNow);
     // If runs are lost, the earlier leader could not reach the worker and
     // received no heartbeats.
     if (aLedUntil != time_point::min() &&
@@ -62,19 +62,20 @@
 }
 
 time_point
-worker_supervisor::LongestLapse(time_point aNow) const
+worker_supervisor::MaxLeaseExpiry(time_point aNow) const
 {
   return aNow + Stretch(mOptions.mMaxLease, mOptions.mMaxClockDrift) +
          kClockRounding;
 }
 
 worker_view
-worker_supervisor::TakeOver(worker_number aWorker, time_point aNow) const
+worker_supervisor::MakeInheritedView(worker_number aWorker,
+                                     time_point aNow) const
 {
   worker_view view;
   // An earlier leader may have granted the longest lease just before it lost
   // leadership; it grants none afterwards.
-  view.mLeasesExpireAt = LongestLapse(aNow);
+  view.mLeasesExpireAt = MaxLeaseExpiry(aNow);
   view.mLastContactAt = aNow;
   view.mShortPollRequested = true;
   for (const run_ref& run : mState.RunsAt(aWorker)) {
@@ -85,23 +86,23 @@
 
 void
 worker_supervisor::OnHeartbeat(worker_number aWorker,
-                               std::int64_t aBeat,
+                               std::int64_t aNumber,
                                std::int64_t aClockMs,
                                time_point aNow)
 {
   const auto found = mViews.find(aWorker);
-  if (found == mViews.end() || aBeat <= found->second.mHeartbeatNumber) {
+  if (found == mViews.end() || aNumber <= found->second.mHeartbeatNumber) {
     return;
   }
   worker_view& view = found->second;
-  view.mHeartbeatNumber = aBeat;
+  view.mHeartbeatNumber = aNumber;
   view.mHeartbeatAt = aNow;
   view.mHasUncommittedUpdate = false;
   view.mLastContactAt = aNow;
   // A heartbeat may have been in transit for long, so a recent answer is
   // preferred.
   if (!view.mHasClock || aNow - view.mClockAt > mOptions.mLease) {
-    NoteClock(view, aClockMs, aNow);
+    SetClock(view, aClockMs, aNow);
   }
 }
 
@@ -113,7 +114,7 @@
     return;
   }
   if (!mViews.contains(aWorker)) {
-    worker_view view = TakeOver(aWorker, aNow);
+    worker_view view = MakeInheritedView(aWorker, aNow);
     if (view.mRuns.empty()) {
       view.mLeasesExpireAt = aNow; // nothing can run in a new incarnation
     } else {
@@ -143,9 +144,9 @@
 }
 
 void
-worker_supervisor::NoteClock(worker_view& aView,
-                             std::int64_t aClockMs,
-                             time_point aNow)
+worker_supervisor::SetClock(worker_view& aView,
+                            std::int64_t aClockMs,
+                            time_point aNow)
 {
   aView.mHasClock = true;
   aView.mClockMs = aClockMs;
@@ -161,7 +162,7 @@
   const worker_record* record = mState.FindWorker(aWorker);
   worker_view& view = mViews[aWorker];
   worker_order order;
-  order.mId = ++mLastOrder;
+  order.mId = ++mLastOrderId;
   order.mWorker = aWorker;
   order.mWorkerId = record->mDescription.mId;
   order.mAddress = record->mDescription.mAddress;
@@ -179,12 +180,12 @@
                aNow + Stretch(lease, mOptions.mMaxClockDrift) + kClockRounding);
   }
   order.mBody = aBody;
-  if (!IsPlainLook(order)) {
+  if (!IsReadOnlyPoll(order)) {
     order.mProcessStartMs = record->mDescription.mProcessStartMs;
   }
-  mOpen[order.mId] = { aWorker, std::move(aBody), aNow };
+  mPendingOrders[order.mId] = { aWorker, std::move(aBody), aNow };
   mOrders.push_back(std::move(order));
-  return mLastOrder;
+  return mLastOrderId;
 }
 
 void
@@ -263,16 +264,16 @@
   if (found == mViews.end()) {
     return;
   }
-  save_checkpoints keep;
+  save_checkpoints save;
   for (const auto& [run, view] : found->second.mRuns) {
     const task_record* task = mState.FindTask(run.mTask);
     if (!view.mCheckpoint.empty() && task != nullptr &&
         task->mCheckpoint != view.mCheckpoint) {
-      keep.mRuns.push_back({ run, view.mCheckpoint });
+      save.mRuns.push_back({ run, view.mCheckpoint });
     }
   }
-  if (!keep.mRuns.empty()) {
-    mCommands.emplace_back(std::move(keep));
+  if (!save.mRuns.empty()) {
+    mCommands.emplace_back(std::move(save));
   }
 }
 
@@ -296,9 +297,9 @@
 }
 
 void
-worker_supervisor::DropLapsed(worker_number aWorker,
-                              worker_view& aView,
-                              time_point aNow)
+worker_supervisor::DropExpiredRuns(worker_number aWorker,
+                                   worker_view& aView,
+                                   time_point aNow)
 {
   if (aNow < aView.mLeasesExpireAt || aNow < aView.mNextExpiryCheckAt ||
       !IsUnreachable(aView, aNow)) {
@@ -308,21 +309,21 @@
     return;
   }
   SaveCheckpoints(aWorker);
-  LoseRuns(aWorker, aView);
+  MarkRunsLost(aWorker, aView);
   aView.mNextExpiryCheckAt = aNow + mOptions.mAnswerMargin;
 }
 
 bool
-worker_supervisor::NeedsLook(const worker_view& aView)
+worker_supervisor::NeedsLongPoll(const worker_view& aView)
 {
   return !aView.mRuns.empty() || aView.mShouldSendCursor;
 }
 
 std::uint64_t
-worker_supervisor::Look(worker_number aWorker,
-                        worker_view& aView,
-                        milliseconds aWait,
-                        time_point aNow)
+worker_supervisor::SendPoll(worker_number aWorker,
+                            worker_view& aView,
+                            milliseconds aWait,
+                            time_point aNow)
 {
   const std::uint64_t cursor =
     aView.mShouldSendCursor ? mState.FindWorker(aWorker)->mCursor : 0;
@@ -333,43 +334,44 @@
 }
 
 void
-worker_supervisor::TickLooks(worker_number aWorker,
-                             worker_view& aView,
-                             time_point aNow)
+worker_supervisor::SendDuePolls(worker_number aWorker,
+                                worker_view& aView,
+                                time_point aNow)
 {
   if (aNow < aView.mNextPollAt) {
     return;
   }
-  const bool quick = aView.mShortPollRequested || !aView.mSynced ||
-                     aView.mFailedPolls > 0 || aView.mHasNewerIncarnation;
-  if (quick && aView.mShortPoll == 0) {
+  const bool isShort = aView.mShortPollRequested || !aView.mSynced ||
+                       aView.mFailedPolls > 0 || aView.mHasNewerIncarnation;
+  if (isShort && aView.mShortPoll == 0) {
     aView.mShortPollRequested = false;
-    aView.mShortPoll = Look(aWorker, aView, milliseconds(0), aNow);
+    aView.mShortPoll = SendPoll(aWorker, aView, milliseconds(0), aNow);
   }
-  if (!quick && aView.mLongPoll == 0 && !aView.mHasUncommittedEnds &&
-      NeedsLook(aView)) {
+  if (!isShort && aView.mLongPoll == 0 && !aView.mHasUncommittedEnds &&
+      NeedsLongPoll(aView)) {
     const bool shared = mState.TotalsAt(aWorker).mBestEffort > 0;
     aView.mLongPoll =
-      Look(aWorker,
-           aView,
-           shared ? mOptions.mSharedLongPollWait : mOptions.mLongPollWait,
-           aNow);
+      SendPoll(aWorker,
+               aView,
+               shared ? mOptions.mSharedLongPollWait : mOptions.mLongPollWait,
+               aNow);
   }
 }
 
 void
-worker_supervisor::TickRuns(worker_number aWorker,
-                            worker_view& aView,
-                            time_point aNow)
+worker_supervisor::ResolveRuns(worker_number aWorker,
+                               worker_view& aView,
+                               time_point aNow)
 {
   if (!aView.mHasRunsToResolve) {
     return;
   }
   aView.mHasRunsToResolve = false;
   for (auto& [run, view] : aView.mRuns) {
-    const bool inDoubt = view.mStartUnansweredSince && !view.mSeenInPoll;
-    const bool toStop = view.mStopRequested && !view.mStoppedAt;
-    aView.mHasRunsToResolve = aView.mHasRunsToResolve || inDoubt || toStop;
+    const bool isUnconfirmed = view.mStartUnansweredSince && !view.mSeenInPoll;
+    const bool mustStop = view.mStopRequested && !view.mStoppedAt;
+    aView.mHasRunsToResolve =
+      aView.mHasRunsToResolve || isUnconfirmed || mustStop;
     if (view.mStartUnansweredSince && !view.mSeenInPoll &&
         aNow >= *view.mStartUnansweredSince + mOptions.mStartTimeout) {
       view.mStopRequested = true;
@@ -385,7 +387,7 @@
 // Whether its long poll is in flight and nothing else is due, as for nearly all
 // workers at nearly all ticks.
 bool
-worker_supervisor::IsQuiet(const worker_view& aView, time_point aNow) const
+worker_supervisor::IsIdle(const worker_view& aView, time_point aNow) const
 {
   return aView.mLongPoll != 0 && aView.mSynced && aView.mFailedPolls == 0 &&
          !aView.mShortPollRequested && !aView.mHasRunsToResolve &&
@@ -394,18 +396,18 @@
 }
 
 void
-worker_supervisor::NoteTick(time_point aNow)
+worker_supervisor::DetectLateTick(time_point aNow)
 {
-  if (aNow - mTickedAt >= kLateTick) {
-    mLateAt = aNow;
+  if (aNow - mLastTickAt >= kLateTick) {
+    mLastLateTickAt = aNow;
   }
-  mTickedAt = aNow;
+  mLastTickAt = aNow;
 }
 
 bool
-worker_supervisor::IsOurDelay(const worker_view& aView) const
+worker_supervisor::IsOwnDelay(const worker_view& aView) const
 {
-  return mLateAt > aView.mFailedPollSentAt &&
+  return mLastLateTickAt > aView.mFailedPollSentAt &&
          aView.mLastContactAt > aView.mFailedPollSentAt;
 }
 
@@ -413,26 +415,26 @@
 worker_supervisor::IsUnreachable(const worker_view& aView,
                                  time_point aNow) const
 {
-  const bool wasLate = mLateAt > aView.mFailingSince;
+  const bool wasDelayed = mLastLateTickAt > aView.mFailingSince;
   const bool isSilent =
     aNow >= aView.mLastContactAt + mOptions.mHeartbeatTimeout;
-  return aView.mFailedPolls > 0 && (!wasLate || isSilent);
+  return aView.mFailedPolls > 0 && (!wasDelayed || isSilent);
 }
 
 void
 worker_supervisor::Tick(time_point aNow)
 {
-  NoteTick(aNow);
+  DetectLateTick(aNow);
   for (auto& [number, view] : mViews) {
-    if (IsQuiet(view, aNow)) {
+    if (IsIdle(view, aNow)) {
       continue;
     }
     if (mState.FindWorker(number) == nullptr) {
       continue; // its removal is being applied
     }
-    TickRuns(number, view, aNow);
-    DropLapsed(number, view, aNow);
-    TickLooks(number, view, aNow);
+    ResolveRuns(number, view, aNow);
+    DropExpiredRuns(number, view, aNow);
+    SendDuePolls(number, view, aNow);
     if (view.mRuns.empty() && aNow >= view.mLeasesExpireAt &&
         aNow >= view.mLastContactAt + mOptions.mWorkerRemovalDelay) {
       mCommands.emplace_back(remove_worker{ number });
@@ -487,13 +489,13 @@
 std::vector<decision>
 worker_supervisor::TakeDecisions()
 {
-  return std::exchange(mNotes, {});
+  return std::exchange(mDecisions, {});
 }
 
 std::vector<run_start>
 worker_supervisor::TakeTicketRefusals()
 {
-  return std::exchange(mTicketsRefused, {});
+  return std::exchange(mTicketRefusals, {});
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/worker_supervisor.h
+++ b/oriolewalk/flow/worker_supervisor.h
@@ -125,7 +125,7 @@
 
   // A known incarnation of a worker sent a heartbeat.
   void OnHeartbeat(worker_number aWorker,
-                   std::int64_t aBeat,
+                   std::int64_t aNumber,
                    std::int64_t aClockMs,
                    time_point aNow);
   // A change that a heartbeat reported is proposed. Until it is committed,
@@ -185,7 +185,7 @@
   }
 
 private:
-  struct open_order
+  struct pending_order
   {
     worker_number mWorker = 0;
     order_body mBody;
@@ -193,103 +193,105 @@
   };
 
   // The view of a worker of which only the replicated state is known.
-  [[nodiscard]] worker_view TakeOver(worker_number aWorker,
-                                     time_point aNow) const;
+  [[nodiscard]] worker_view MakeInheritedView(worker_number aWorker,
+                                              time_point aNow) const;
   // When a lease is over at the latest that another leader grants now.
-  [[nodiscard]] time_point LongestLapse(time_point aNow) const;
+  [[nodiscard]] time_point MaxLeaseExpiry(time_point aNow) const;
   // Whether the answer is from another incarnation than the order's.
-  [[nodiscard]] bool IsOfOtherLife(worker_number aWorker,
-                                   const order_answer& aAnswer) const;
-  void NoteOutlived(worker_number aWorker,
-                    worker_view& aView,
-                    const order_answer& aAnswer);
+  [[nodiscard]] bool IsFromOtherIncarnation(worker_number aWorker,
+                                            const order_answer& aAnswer) const;
+  void OnNewerIncarnation(worker_number aWorker,
+                          worker_view& aView,
+                          const order_answer& aAnswer);
   std::uint64_t Send(worker_number aWorker,
                      order_body aBody,
                      bool aWithLease,
                      time_point aNow);
-  std::uint64_t Look(worker_number aWorker,
-                     worker_view& aView,
-                     milliseconds aWait,
-                     time_point aNow);
-  void TickLooks(worker_number aWorker, worker_view& aView, time_point aNow);
-  void NoteClock(worker_view& aView, std::int64_t aClockMs, time_point aNow);
-  void NoteAnswer(const open_order& aOrder,
-                  worker_view& aView,
-                  const order_answer& aAnswer,
-                  time_point aNow);
-  void LookAnswered(worker_number aWorker,
+  std::uint64_t SendPoll(worker_number aWorker,
+                         worker_view& aView,
+                         milliseconds aWait,
+                         time_point aNow);
+  void SendDuePolls(worker_number aWorker, worker_view& aView, time_point aNow);
+  void SetClock(worker_view& aView, std::int64_t aClockMs, time_point aNow);
+  void UpdateReachability(const pending_order& aOrder,
+                          worker_view& aView,
+                          const order_answer& aAnswer,
+                          time_point aNow);
+  void OnPollAnswer(worker_number aWorker,
                     worker_view& aView,
                     time_point aSentAt,
                     const order_answer& aAnswer,
                     time_point aNow);
-  void StartAnswered(worker_number aWorker,
+  void OnStartAnswer(worker_number aWorker,
                      worker_view& aView,
                      const start_order& aOrder,
                      const order_answer& aAnswer,
                      time_point aNow);
-  void StopAnswered(worker_view& aView,
+  void OnStopAnswer(worker_view& aView,
                     const stop_order& aOrder,
                     const order_answer& aAnswer,
                     time_point aNow);
-  void TakeRunning(worker_number aWorker,
+  void UpdateRunning(worker_number aWorker,
+                     worker_view& aView,
+                     const order_answer& aAnswer,
+                     time_point aNow);
+  bool ProposeEnds(worker_number aWorker,
                    worker_view& aView,
-                   const order_answer& aAnswer,
-                   time_point aNow);
-  bool TakeEnds(worker_number aWorker,
-                worker_view& aView,
-                const order_answer& aAnswer);
-  void DropAbsent(worker_number aWorker,
-                  worker_view& aView,
-                  time_point aSentAt,
-                  const order_answer& aAnswer);
-  void DropLapsed(worker_number aWorker, worker_view& aView, time_point aNow);
+                   const order_answer& aAnswer);
+  void DropAbsentRuns(worker_number aWorker,
+                      worker_view& aView,
+                      time_point aSentAt,
+                      const order_answer& aAnswer);
+  void DropExpiredRuns(worker_number aWorker,
+                       worker_view& aView,
+                       time_point aNow);
   // Proposes to drop the runs, and logs the reason.
-  void GiveUp(worker_number aWorker,
-              std::vector<run_ref> aRuns,
-              std::string_view aWhy);
-  void NoteGivenUp(worker_number aWorker,
-                   const std::vector<run_ref>& aRuns,
-                   std::string_view aWhy);
-  void NotePassedOver(const worker_record& aRecord, const listed_end& aListed);
-  void TickRuns(worker_number aWorker, worker_view& aView, time_point aNow);
+  void DropRuns(worker_number aWorker,
+                std::vector<run_ref> aRuns,
+                std::string_view aWhy);
+  void LogDroppedRuns(worker_number aWorker,
+                      const std::vector<run_ref>& aRuns,
+                      std::string_view aWhy);
+  void LogIgnoredEnd(const worker_record& aRecord, const listed_end& aListed);
+  void ResolveRuns(worker_number aWorker, worker_view& aView, time_point aNow);
   void SyncRuns(worker_number aWorker, worker_view& aView);
-  void NoteTick(time_point aNow);
+  void DetectLateTick(time_point aNow);
   // Whether its last poll may have failed only because this process was
   // delayed: the worker made contact after the poll was sent.
-  [[nodiscard]] bool IsOurDelay(const worker_view& aView) const;
+  [[nodiscard]] bool IsOwnDelay(const worker_view& aView) const;
   // Whether its polls fail and a delay of this process can't be the cause.
   [[nodiscard]] bool IsUnreachable(const worker_view& aView,
                                    time_point aNow) const;
-  void NoteOver(worker_number aWorker,
-                const worker_view& aView,
-                std::string_view aKnownBy,
-                time_point aNow);
-  void NoteReturn(worker_number aWorker, worker_view& aView);
+  void LogIncarnationEnd(worker_number aWorker,
+                         const worker_view& aView,
+                         std::string_view aKnownBy,
+                         time_point aNow);
+  void ProposeWorkerReturn(worker_number aWorker, worker_view& aView);
   // Proposes to mark its runs as lost because their lease expired, until it is
   // known whether the worker crashed.
-  void LoseRuns(worker_number aWorker, worker_view& aView);
-  [[nodiscard]] bool IsProven(const worker_view& aView,
-                              const run_ref& aRun) const;
+  void MarkRunsLost(worker_number aWorker, worker_view& aView);
+  [[nodiscard]] bool IsCleared(const worker_view& aView,
+                               const run_ref& aRun) const;
   // How long the run has run at least, by the last contact with its worker.
   // None: it isn't known to have started, or an earlier leader started it.
-  [[nodiscard]] static std::optional<duration> RanFor(
+  [[nodiscard]] static std::optional<duration> MinRunTime(
     const worker_view& aView,
     const worker_view::run_view& aRun);
-  [[nodiscard]] bool IsQuiet(const worker_view& aView, time_point aNow) const;
-  [[nodiscard]] static bool NeedsLook(const worker_view& aView);
+  [[nodiscard]] bool IsIdle(const worker_view& aView, time_point aNow) const;
+  [[nodiscard]] static bool NeedsLongPoll(const worker_view& aView);
 
   const flow_state& mState;
   flow_options mOptions;
   std::uint64_t mTerm;
-  std::uint64_t mLastOrder;
-  time_point mTickedAt;
-  time_point mLateAt{}; // when the last late tick came
+  std::uint64_t mLastOrderId;
+  time_point mLastTickAt;
+  time_point mLastLateTickAt{}; // when the last late tick came
   std::map<worker_number, worker_view> mViews;
-  std::map<std::uint64_t, open_order> mOpen;
+  std::map<std::uint64_t, pending_order> mPendingOrders;
   std::vector<worker_order> mOrders;
   std::vector<command_body> mCommands;
-  std::vector<run_start> mTicketsRefused;
-  std::vector<decision> mNotes;
+  std::vector<run_start> mTicketRefusals;
+  std::vector<decision> mDecisions;
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/worker_supervisor_answers.cc
+++ b/oriolewalk/flow/worker_supervisor_answers.cc
@@ -13,7 +13,7 @@
 namespace {
 
 // A worker truncates its list of ends at this length.
-constexpr std::size_t kMostListedEnds = 500;
+constexpr std::size_t kMaxListedEnds = 500;
 // How long a worker that refused a start as unhealthy gets no other start.
 constexpr milliseconds kUnhealthyPause{ 1'000 };
 
@@ -24,11 +24,11 @@
                             const order_answer& aAnswer,
                             time_point aNow)
 {
-  auto open = mOpen.extract(aOrder);
+  auto open = mPendingOrders.extract(aOrder);
   if (open.empty()) {
     return;
   }
-  const open_order& order = open.mapped();
+  const pending_order& order = open.mapped();
   const auto found = mViews.find(order.mWorker);
   if (found == mViews.end()) {
     return;
@@ -37,23 +37,23 @@
   // If the lists of a later incarnation were applied to this one, runs would be
   // dropped whose start may still arrive, and its ends would be compared with a
   // cursor of another sequence. Its heartbeat will report the restart.
-  const bool later = IsOfOtherLife(order.mWorker, aAnswer);
-  if (later) {
-    NoteOutlived(order.mWorker, view, aAnswer);
+  const bool isNewer = IsFromOtherIncarnation(order.mWorker, aAnswer);
+  if (isNewer) {
+    OnNewerIncarnation(order.mWorker, view, aAnswer);
   }
-  static const order_answer sNone;
-  const bool unread = later && aAnswer.mResult != order_result::NotSent;
-  const order_answer& answer = unread ? sNone : aAnswer;
-  NoteAnswer(order, view, answer, aNow);
+  static const order_answer sNoAnswer;
+  const bool isIgnored = isNewer && aAnswer.mResult != order_result::NotSent;
+  const order_answer& answer = isIgnored ? sNoAnswer : aAnswer;
+  UpdateReachability(order, view, answer, aNow);
   std::visit(
     overloaded{
       [&](const start_order& aStart) {
-        StartAnswered(order.mWorker, view, aStart, answer, aNow);
+        OnStartAnswer(order.mWorker, view, aStart, answer, aNow);
       },
-      [&](const stop_order& aStop) { StopAnswered(view, aStop, answer, aNow); },
+      [&](const stop_order& aStop) { OnStopAnswer(view, aStop, answer, aNow); },
       [&](const poll_order&) {
         (aOrder == view.mShortPoll ? view.mShortPoll : view.mLongPoll) = 0;
-        LookAnswered(order.mWorker, view, order.mSentAt, answer, aNow);
+        OnPollAnswer(order.mWorker, view, order.mSentAt, answer, aNow);
       },
       [](const pace_order&) {},
     },
@@ -61,36 +61,38 @@
 }
 
 bool
-worker_supervisor::IsOfOtherLife(worker_number aWorker,
-                                 const order_answer& aAnswer) const
+worker_supervisor::IsFromOtherIncarnation(worker_number aWorker,
+                                          const order_answer& aAnswer) const
 {
-  const std::int64_t born =
+  const std::int64_t processStartMs =
     mState.FindWorker(aWorker)->mDescription.mProcessStartMs;
-  return aAnswer.mProcessStartMs != 0 && born != 0 &&
-         aAnswer.mProcessStartMs != born;
+  return aAnswer.mProcessStartMs != 0 && processStartMs != 0 &&
+         aAnswer.mProcessStartMs != processStartMs;
 }
 
 void
-worker_supervisor::NoteOutlived(worker_number aWorker,
-                                worker_view& aView,
-                                const order_answer& aAnswer)
+worker_supervisor::OnNewerIncarnation(worker_number aWorker,
+                                      worker_view& aView,
+                                      const order_answer& aAnswer)
 {
   if (std::exchange(aView.mHasNewerIncarnation, true)) {
     return;
   }
-  const worker_description& facts = mState.FindWorker(aWorker)->mDescription;
-  mNotes.push_back({ "worker.outlived",
-                     { { "worker", facts.mId.Value() },
-                       { "born", std::to_string(aAnswer.mProcessStartMs) },
-                       { "known_born", std::to_string(facts.mProcessStartMs) },
-                       { "runs", std::to_string(aView.mRuns.size()) } } });
+  const worker_description& description =
+    mState.FindWorker(aWorker)->mDescription;
+  mDecisions.push_back(
+    { "worker.outlived",
+      { { "worker", description.mId.Value() },
+        { "born", std::to_string(aAnswer.mProcessStartMs) },
+        { "known_born", std::to_string(description.mProcessStartMs) },
+        { "runs", std::to_string(aView.mRuns.size()) } } });
 }
 
 void
-worker_supervisor::NoteAnswer(const open_order& aOrder,
-                              worker_view& aView,
-                              const order_answer& aAnswer,
-                              time_point aNow)
+worker_supervisor::UpdateReachability(const pending_order& aOrder,
+                                      worker_view& aView,
+                                      const order_answer& aAnswer,
+                                      time_point aNow)
 {
   switch (aAnswer.mResult) {
     case order_result::OtherIncarnation:
@@ -107,7 +109,7 @@
         if (aView.mFailedPolls == 0) {
           aView.mFailingSince = aOrder.mSentAt;
         }
-        aView.mFailedPolls = IsOurDelay(aView) ? 0 : aView.mFailedPolls + 1;
+        aView.mFailedPolls = IsOwnDelay(aView) ? 0 : aView.mFailedPolls + 1;
         aView.mShouldSendCursor = false; // another process may run there by now
       }
       return;
@@ -115,13 +117,13 @@
       aView.mFailedPolls = 0;
       aView.mLastContactAt = aNow;
       if (aAnswer.mClockMs) {
-        NoteClock(aView, *aAnswer.mClockMs, aNow);
+        SetClock(aView, *aAnswer.mClockMs, aNow);
       }
   }
 }
 
 void
-worker_supervisor::StartAnswered(worker_number aWorker,
+worker_supervisor::OnStartAnswer(worker_number aWorker,
                                  worker_view& aView,
                                  const start_order& aOrder,
                                  const order_answer& aAnswer,
@@ -144,7 +146,7 @@
     case order_result::OtherIncarnation:
       return; // another leader took over, or the incarnation ended
     case order_result::TicketInvalid:
-      mTicketsRefused.push_back({ aOrder.mRun, aWorker });
+      mTicketRefusals.push_back({ aOrder.mRun, aWorker });
       why = "ticket";
       break;
     case order_result::Unhealthy:
@@ -166,11 +168,11 @@
     default:
       break;
   }
-  GiveUp(aWorker, { aOrder.mRun }, why);
+  DropRuns(aWorker, { aOrder.mRun }, why);
 }
 
 void
-worker_supervisor::StopAnswered(worker_view& aView,
+worker_supervisor::OnStopAnswer(worker_view& aView,
                                 const stop_order& aOrder,
                                 const order_answer& aAnswer,
                                 time_point aNow)
@@ -189,7 +191,7 @@
 }
 
 void
-worker_supervisor::LookAnswered(worker_number aWorker,
+worker_supervisor::OnPollAnswer(worker_number aWorker,
                                 worker_view& aView,
                                 time_point aSentAt,
                                 const order_answer& aAnswer,
@@ -201,18 +203,18 @@
   }
   aView.mNextPollAt = aNow;
   aView.mSynced = true;
-  NoteReturn(aWorker, aView);
-  TakeRunning(aWorker, aView, aAnswer, aNow);
-  DropAbsent(aWorker, aView, aSentAt, aAnswer);
+  ProposeWorkerReturn(aWorker, aView);
+  UpdateRunning(aWorker, aView, aAnswer, aNow);
+  DropAbsentRuns(aWorker, aView, aSentAt, aAnswer);
   aView.mShouldSendCursor = !aAnswer.mEnded.empty();
-  aView.mHasUncommittedEnds = TakeEnds(aWorker, aView, aAnswer);
+  aView.mHasUncommittedEnds = ProposeEnds(aWorker, aView, aAnswer);
 }
 
 void
-worker_supervisor::TakeRunning(worker_number aWorker,
-                               worker_view& aView,
-                               const order_answer& aAnswer,
-                               time_point aNow)
+worker_supervisor::UpdateRunning(worker_number aWorker,
+                                 worker_view& aView,
+                                 const order_answer& aAnswer,
+                                 time_point aNow)
 {
   for (const listed_run& listed : aAnswer.mRunning) {
     const auto run = aView.mRuns.find(listed.mRun);
@@ -231,9 +233,9 @@
 }
 
 bool
-worker_supervisor::TakeEnds(worker_number aWorker,
-                            worker_view& /*aView*/,
-                            const order_answer& aAnswer)
+worker_supervisor::ProposeEnds(worker_number aWorker,
+                               worker_view& /*aView*/,
+                               const order_answer& aAnswer)
 {
   const worker_record* record = mState.FindWorker(aWorker);
   end_runs ends{ aWorker, {}, record->mCursor };
@@ -242,7 +244,7 @@
       ends.mEnds.push_back(listed.mEnd);
       ends.mCursor = std::max(ends.mCursor, listed.mNumber);
     } else if (mState.IsPlaced(listed.mEnd.mRun, aWorker)) {
-      NotePassedOver(*record, listed);
+      LogIgnoredEnd(*record, listed);
     }
   }
   if (ends.mEnds.empty()) {
@@ -253,12 +255,12 @@
 }
 
 void
-worker_supervisor::DropAbsent(worker_number aWorker,
-                              worker_view& aView,
-                              time_point aSentAt,
-                              const order_answer& aAnswer)
+worker_supervisor::DropAbsentRuns(worker_number aWorker,
+                                  worker_view& aView,
+                                  time_point aSentAt,
+                                  const order_answer& aAnswer)
 {
-  if (aAnswer.mEnded.size() >= kMostListedEnds) {
+  if (aAnswer.mEnded.size() >= kMaxListedEnds) {
     return; // the next poll shows the rest
   }
   std::set<run_ref> present;
@@ -280,26 +282,26 @@
     }
   }
   if (!absent.empty()) {
-    GiveUp(aWorker, std::move(absent), "absent");
+    DropRuns(aWorker, std::move(absent), "absent");
   }
 }
 
 void
-worker_supervisor::GiveUp(worker_number aWorker,
-                          std::vector<run_ref> aRuns,
-                          std::string_view aWhy)
+worker_supervisor::DropRuns(worker_number aWorker,
+                            std::vector<run_ref> aRuns,
+                            std::string_view aWhy)
 {
-  NoteGivenUp(aWorker, aRuns, aWhy);
+  LogDroppedRuns(aWorker, aRuns, aWhy);
   mCommands.emplace_back(drop_runs{ aWorker, std::move(aRuns) });
 }
 
 void
-worker_supervisor::NoteGivenUp(worker_number aWorker,
-                               const std::vector<run_ref>& aRuns,
-                               std::string_view aWhy)
+worker_supervisor::LogDroppedRuns(worker_number aWorker,
+                                  const std::vector<run_ref>& aRuns,
+                                  std::string_view aWhy)
 {
   for (const run_ref& run : aRuns) {
-    mNotes.push_back(
+    mDecisions.push_back(
       { "run.given_up",
         { { "job", run.mTask.mJob.Value() },
           { "step", std::to_string(run.mTask.mStep) },
@@ -313,19 +315,20 @@
 // By its number the end is already in the state, but the state still holds the
 // run: one of the two is wrong.
 void
-worker_supervisor::NotePassedOver(const worker_record& aRecord,
-                                  const listed_end& aListed)
+worker_supervisor::LogIgnoredEnd(const worker_record& aRecord,
+                                 const listed_end& aListed)
 {
   const run_ref& run = aListed.mEnd.mRun;
-  mNotes.push_back({ "end.passed_over",
-                     { { "job", run.mTask.mJob.Value() },
-                       { "step", std::to_string(run.mTask.mStep) },
-                       { "task", std::to_string(run.mTask.mIndex) },
-                       { "attempt", std::to_string(run.mAttempt) },
-                       { "how", std::string(ToString(aListed.mEnd.mOutcome)) },
-                       { "worker", aRecord.mDescription.mId.Value() },
-                       { "number", std::to_string(aListed.mNumber) },
-                       { "cursor", std::to_string(aRecord.mCursor) } } });
+  mDecisions.push_back(
+    { "end.passed_over",
+      { { "job", run.mTask.mJob.Value() },
+        { "step", std::to_string(run.mTask.mStep) },
+        { "task", std::to_string(run.mTask.mIndex) },
+        { "attempt", std::to_string(run.mAttempt) },
+        { "how", std::string(ToString(aListed.mEnd.mOutcome)) },
+        { "worker", aRecord.mDescription.mId.Value() },
+        { "number", std::to_string(aListed.mNumber) },
+        { "cursor", std::to_string(aRecord.mCursor) } } });
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/worker_supervisor_losses.cc
+++ b/oriolewalk/flow/worker_supervisor_losses.cc
@@ -17,20 +17,20 @@
 // A task that crashes every worker that starts it does so at once. A busy
 // worker makes contact at each end of a run, so the last contact before a crash
 // is recent.
-constexpr milliseconds kJustBegun{ 250 };
+constexpr milliseconds kJustStarted{ 250 };
 // Longer than the heartbeat interval, so that a healthy worker makes contact
 // within it.
-constexpr milliseconds kFresh{ 2'000 };
+constexpr milliseconds kNewlyStarted{ 2'000 };
 // A long-running task that has run for this long is not the cause of a crash of
 // its worker.
-constexpr milliseconds kProven{ 60'000 };
+constexpr milliseconds kClearedAfter{ 60'000 };
 
 std::vector<run_ref>
-JustBegun(const std::map<run_ref, duration>& aAges)
+JustStarted(const std::map<run_ref, duration>& aAges)
 {
   std::vector<run_ref> runs;
   for (const auto& [run, age] : aAges) {
-    if (age < kJustBegun) {
+    if (age < kJustStarted) {
       runs.push_back(run);
     }
   }
@@ -40,8 +40,8 @@
 } // namespace
 
 std::optional<duration>
-worker_supervisor::RanFor(const worker_view& aView,
-                          const worker_view::run_view& aRun)
+worker_supervisor::MinRunTime(const worker_view& aView,
+                              const worker_view::run_view& aRun)
 {
   if (aRun.mInherited || !aRun.mStartedAt) {
     return std::nullopt;
@@ -61,37 +61,42 @@
   if (run == found->second.mRuns.end() || run->second.mInherited) {
     return false;
   }
-  return RanFor(found->second, run->second).value_or(duration::zero()) < kFresh;
+  return MinRunTime(found->second, run->second).value_or(duration::zero()) <
+         kNewlyStarted;
 }
 
 bool
-worker_supervisor::IsProven(const worker_view& aView, const run_ref& aRun) const
+worker_supervisor::IsCleared(const worker_view& aView,
+                             const run_ref& aRun) const
 {
   const step_spec* step = mState.FindStep(aRun.mTask);
   const auto run = aView.mRuns.find(aRun);
   return step != nullptr && step->mLongRunning && run != aView.mRuns.end() &&
-         RanFor(aView, run->second).value_or(duration::zero()) >= kProven;
+         MinRunTime(aView, run->second).value_or(duration::zero()) >=
+           kClearedAfter;
 }
 
 void
-worker_supervisor::LoseRuns(worker_number aWorker, worker_view& aView)
+worker_supervisor::MarkRunsLost(worker_number aWorker, worker_view& aView)
 {
   const std::set<run_ref>& placed = mState.RunsAt(aWorker);
   for (const run_ref& run : placed) {
-    const auto seen = aView.mRuns.find(run);
-    const auto ran =
-      seen == aView.mRuns.end() ? std::nullopt : RanFor(aView, seen->second);
-    if (ran) {
-      aView.mLostRunAges[run] = *ran;
+    const auto seenRun = aView.mRuns.find(run);
+    const auto runTime = seenRun == aView.mRuns.end()
+                           ? std::nullopt
+                           : MinRunTime(aView, seenRun->second);
+    if (runTime) {
+      aView.mLostRunAges[run] = *runTime;
     }
   }
   std::vector<run_ref> runs(placed.begin(), placed.end());
-  NoteGivenUp(aWorker, runs, "lapsed");
+  LogDroppedRuns(aWorker, runs, "lapsed");
   mCommands.emplace_back(mark_runs_lost{ aWorker, std::move(runs) });
 }
 
 void
-worker_supervisor::NoteReturn(worker_number aWorker, worker_view& aView)
+worker_supervisor::ProposeWorkerReturn(worker_number aWorker,
+                                       worker_view& aView)
 {
   if (mState.Crashes().HasLostRuns(aWorker)) {
     aView.mLostRunAges.clear();
@@ -111,34 +116,34 @@
   }
   worker_view& view = found->second;
   if (!std::exchange(view.mEndLogged, true)) {
-    NoteOver(aWorker, view, aKnownBy, aNow);
+    LogIncarnationEnd(aWorker, view, aKnownBy, aNow);
   }
   if (record->mDraining) {
     return; // it left, and its deregistration was lost
   }
   std::map<run_ref, duration> ages = view.mLostRunAges;
   record_worker_crash crash{ aWorker, {}, {} };
-  for (const auto& [run, seen] : view.mRuns) {
-    if (const std::optional<duration> ran = RanFor(view, seen)) {
-      ages[run] = *ran;
+  for (const auto& [run, seenRun] : view.mRuns) {
+    if (const std::optional<duration> runTime = MinRunTime(view, seenRun)) {
+      ages[run] = *runTime;
     }
-    if (IsProven(view, run)) {
+    if (IsCleared(view, run)) {
       crash.mCleared.push_back(run);
     }
   }
-  crash.mSuspects = JustBegun(ages);
+  crash.mSuspects = JustStarted(ages);
   mCommands.emplace_back(std::move(crash));
 }
 
 void
-worker_supervisor::NoteOver(worker_number aWorker,
-                            const worker_view& aView,
-                            std::string_view aKnownBy,
-                            time_point aNow)
+worker_supervisor::LogIncarnationEnd(worker_number aWorker,
+                                     const worker_view& aView,
+                                     std::string_view aKnownBy,
+                                     time_point aNow)
 {
   const worker_record& record = *mState.FindWorker(aWorker);
   const std::string& id = record.mDescription.mId.Value();
-  mNotes.push_back(
+  mDecisions.push_back(
     { "worker.over",
       { { "worker", id },
         { "address", record.mDescription.mAddress },
@@ -146,16 +151,17 @@
         { "draining", record.mDraining ? "yes" : "no" },
         { "silent_ms", std::to_string(ToMs(aNow - aView.mLastContactAt)) },
         { "runs", std::to_string(aView.mRuns.size()) } } });
-  for (const auto& [run, seen] : aView.mRuns) {
-    const std::optional<duration> ran = RanFor(aView, seen);
-    mNotes.push_back(
+  for (const auto& [run, seenRun] : aView.mRuns) {
+    const std::optional<duration> runTime = MinRunTime(aView, seenRun);
+    mDecisions.push_back(
       { "run.lost",
         { { "job", run.mTask.mJob.Value() },
           { "step", std::to_string(run.mTask.mStep) },
           { "task", std::to_string(run.mTask.mIndex) },
           { "attempt", std::to_string(run.mAttempt) },
           { "worker", id },
-          { "ran_ms", ran ? std::to_string(ToMs(*ran)) : "unknown" } } });
+          { "ran_ms",
+            runTime ? std::to_string(ToMs(*runTime)) : "unknown" } } });
   }
 }
 
--- a/testing/flow/fake_group.cc
+++ b/testing/flow/fake_group.cc
@@ -10,27 +10,27 @@
 namespace {
 
 constexpr milliseconds kStep{ 5 };
-constexpr milliseconds kWay{ 1 };
-constexpr milliseconds kHandOverBound{ 400 };
-constexpr milliseconds kBeatEvery{ 1'500 };
-constexpr milliseconds kLeastLate{ 2'000 };
+constexpr milliseconds kTransitTime{ 1 };
+constexpr milliseconds kRelayTimeout{ 400 };
+constexpr milliseconds kHeartbeatInterval{ 1'500 };
+constexpr milliseconds kMinLateDelay{ 2'000 };
 constexpr std::uint64_t kLateSpanMs = 10'000;
 
 } // namespace
 
 fake_group::fake_group(std::size_t aNodes,
-                       std::size_t aFounders,
+                       std::size_t aInitialMembers,
                        std::uint64_t aSeed,
-                       std::size_t aMostVoters,
+                       std::size_t aMaxVoters,
                        flow_options aOptions)
   : mRandom(aSeed)
-  , mFounders(aFounders)
-  , mMostVoters(aMostVoters)
+  , mInitialMembers(aInitialMembers)
+  , mMaxVoters(aMaxVoters)
   , mOptions(aOptions)
   , mNodes(aNodes)
 {
   for (std::size_t node = 0; node < aNodes; ++node) {
-    mNodes[node].mFresh = node >= aFounders;
+    mNodes[node].mFresh = node >= aInitialMembers;
     Make(node);
   }
   RunUntil([this]() { return Leader().has_value(); }, seconds(10));
@@ -63,19 +63,19 @@
   flow_config config;
   config.mSelf = Id(aNode);
   config.mAddress = "n" + std::to_string(aNode);
-  config.mMaxVoters = mMostVoters;
+  config.mMaxVoters = mMaxVoters;
   config.mFlow = mOptions;
   consensus::restored_state restored = made.mDisk.Content();
   restored.mMayVote = !made.mFresh;
   if (!made.mFresh) {
     // Every initial member starts with the same membership, whatever changed
     // later.
-    for (std::size_t founder = 0; founder < mFounders; ++founder) {
+    for (std::size_t member = 0; member < mInitialMembers; ++member) {
       config.mInitialMembers.PutVoter(
-        { Id(founder), "n" + std::to_string(founder), 0, false, std::nullopt });
+        { Id(member), "n" + std::to_string(member), 0, false, std::nullopt });
     }
   }
-  ++made.mLife;
+  ++made.mIncarnation;
   auto core =
     flow_core::Make(config, std::move(restored), mRandom.Bits(), mNow);
   made.mCore = std::move(*core);
@@ -118,39 +118,39 @@
   for (worker_place& place : mWorkers) {
     place.mWorker->Advance(mNow);
   }
-  Returns();
-  Beats();
-  Joins();
+  RestartDueWorkers();
+  SendHeartbeats();
+  SendJoinRequests();
   for (std::size_t node = 0; node < mNodes.size(); ++node) {
     if (mNodes[node].mCore != nullptr && !mNodes[node].mPaused) {
       if (const auto ticket = mNodes[node].mDisk.SyncUntil(mNow)) {
         mNodes[node].mCore->Persisted(*ticket, At());
       }
       mNodes[node].mCore->Tick(At());
-      Pump(node);
+      ForwardEffects(node);
     }
   }
 }
 
 void
-fake_group::Pump(std::size_t aNode)
+fake_group::ForwardEffects(std::size_t aNode)
 {
   process& one = mNodes[aNode];
-  constexpr int kMostRounds = 4; // applying entries makes proposals
-  for (int round = 0; round < kMostRounds; ++round) {
+  constexpr int kMaxRounds = 4; // applying entries makes proposals
+  for (int round = 0; round < kMaxRounds; ++round) {
     flow_effects out = one.mCore->TakeEffects(At());
     for (const consensus::message& message : out.mRaft.mMessages) {
       Deliver(aNode, message);
     }
     if (out.mRaft.mTicket != 0) {
-      one.mDisk.Write(out.mRaft, mNow + mSync);
+      one.mDisk.Write(out.mRaft, mNow + mSyncTime);
     }
     if (out.mSnapshot) {
       one.mDisk.Store(*out.mSnapshot);
       one.mCore->SnapshotStored(*out.mSnapshot);
     }
     for (const worker_order& order : out.mOrders) {
-      Order(aNode, order);
+      SendOrder(aNode, order);
     }
     for (const decision& note : out.mDecisions) {
       ++mCounts[std::string(note.mEvent)];
@@ -169,11 +169,11 @@
   if (to >= mNodes.size() || mNodes[aFrom].mCut || mNodes[to].mCut) {
     return;
   }
-  const std::uint64_t life = mNodes[to].mLife;
-  At(kWay, [this, to, life, aMessage]() {
+  const std::uint64_t incarnation = mNodes[to].mIncarnation;
+  At(kTransitTime, [this, to, incarnation, aMessage]() {
     process& one = mNodes[to];
-    if (one.mCore != nullptr && !one.mPaused && one.mLife == life &&
-        !one.mCut) {
+    if (one.mCore != nullptr && !one.mPaused &&
+        one.mIncarnation == incarnation && !one.mCut) {
       one.mCore->Receive(aMessage, At());
     }
   });
@@ -182,13 +182,13 @@
 // A leader that was killed or restarted since gets no answer; the worker
 // executes the order nevertheless.
 void
-fake_group::Order(std::size_t aFrom, const worker_order& aOrder)
+fake_group::SendOrder(std::size_t aFrom, const worker_order& aOrder)
 {
-  const std::uint64_t life = mNodes[aFrom].mLife;
+  const std::uint64_t incarnation = mNodes[aFrom].mIncarnation;
   const auto answer =
-    [this, aFrom, life, id = aOrder.mId](const order_answer& aAnswer) {
+    [this, aFrom, incarnation, id = aOrder.mId](const order_answer& aAnswer) {
       process& one = mNodes[aFrom];
-      if (one.mCore != nullptr && one.mLife == life) {
+      if (one.mCore != nullptr && one.mIncarnation == incarnation) {
         one.mCore->OnOrderAnswer(id, aAnswer, At());
       }
     };
@@ -196,26 +196,26 @@
     return aPlace.mWorker->Description().mAddress == aOrder.mAddress;
   });
   const milliseconds wait{ 600 };
-  if (place == mWorkers.end() || place->mCut || !HandOver(aFrom, aOrder)) {
+  if (place == mWorkers.end() || place->mCut || !PassToRelay(aFrom, aOrder)) {
     At(wait, [answer]() { answer(order_answer{}); });
     return;
   }
   const auto worker = static_cast<std::size_t>(place - mWorkers.begin());
-  if (mHoldsBack && mHoldsBack(aOrder)) {
-    mHeld.emplace_back(worker, aOrder);
+  if (mHoldsOrder && mHoldsOrder(aOrder)) {
+    mHeldOrders.emplace_back(worker, aOrder);
     At(wait, [answer]() { answer(order_answer{}); });
     return;
   }
   if (mRandom.Fraction() < mLateShare) {
     // The order is lost if the worker's process ends before it is executed.
-    const std::int64_t born =
+    const std::int64_t processStartMs =
       mWorkers[worker].mWorker->Description().mProcessStartMs;
-    At(kLeastLate + milliseconds(mRandom.Below(kLateSpanMs)),
-       [this, worker, aOrder, born]() {
+    At(kMinLateDelay + milliseconds(mRandom.Below(kLateSpanMs)),
+       [this, worker, aOrder, processStartMs]() {
          fake_worker& late = *mWorkers[worker].mWorker;
-         if (late.Description().mProcessStartMs == born) {
+         if (late.Description().mProcessStartMs == processStartMs) {
            late.mHandlesLateOrder = true;
-           Arrive(worker, aOrder);
+           DeliverOrder(worker, aOrder);
            late.mHandlesLateOrder = false;
          }
        });
@@ -224,25 +224,26 @@
   }
   const auto delay = [this]() {
     return mOrderDelay.count() == 0
-             ? kWay
-             : kWay + milliseconds(mRandom.Below(
-                        static_cast<std::uint64_t>(mOrderDelay.count())));
+             ? kTransitTime
+             : kTransitTime +
+                 milliseconds(mRandom.Below(
+                   static_cast<std::uint64_t>(mOrderDelay.count())));
   };
-  const milliseconds there = delay();
-  const milliseconds back = delay();
-  At(there, [this, worker, aOrder, answer, back, there, wait]() {
-    const order_answer got = Arrive(worker, aOrder);
-    if (there + back < wait) {
-      At(back, [answer, got]() { answer(got); });
+  const milliseconds wayThere = delay();
+  const milliseconds wayBack = delay();
+  At(wayThere, [this, worker, aOrder, answer, wayBack, wayThere, wait]() {
+    const order_answer workerAnswer = DeliverOrder(worker, aOrder);
+    if (wayThere + wayBack < wait) {
+      At(wayBack, [answer, workerAnswer]() { answer(workerAnswer); });
     }
   });
-  if (there + back >= wait) { // timed out, but is executed nevertheless
+  if (wayThere + wayBack >= wait) { // timed out, but is executed nevertheless
     At(wait, [answer]() { answer(order_answer{}); });
   }
 }
 
 order_answer
-fake_group::Arrive(std::size_t aWorker, const worker_order& aOrder)
+fake_group::DeliverOrder(std::size_t aWorker, const worker_order& aOrder)
 {
   fake_worker& worker = *mWorkers[aWorker].mWorker;
   const bool forOther =
@@ -255,47 +256,47 @@
     return {}; // sent over a connection to the former process, and lost with it
   }
   // Over a new connection, the current process is polled for its start time.
-  worker_order question = aOrder;
-  question.mProcessStartMs = 0;
-  question.mLeaseClockMs.reset();
-  question.mBody = poll_order{};
-  const order_answer told = worker.Handle(question, mNow);
+  worker_order poll = aOrder;
+  poll.mProcessStartMs = 0;
+  poll.mLeaseClockMs.reset();
+  poll.mBody = poll_order{};
+  const order_answer shown = worker.Handle(poll, mNow);
   order_answer refusal;
-  refusal.mProcessStartMs = told.mProcessStartMs;
+  refusal.mProcessStartMs = shown.mProcessStartMs;
   refusal.mResult =
-    told.mResult == order_result::Done ? order_result::NotSent : told.mResult;
+    shown.mResult == order_result::Done ? order_result::NotSent : shown.mResult;
   return refusal;
 }
 
 void
 fake_group::HoldOrders(std::function<bool(const worker_order&)> aWhich)
 {
-  mHoldsBack = std::move(aWhich);
+  mHoldsOrder = std::move(aWhich);
 }
 
 void
 fake_group::ReleaseOrders()
 {
-  mHoldsBack = nullptr;
-  for (const auto& [worker, order] : std::exchange(mHeld, {})) {
-    Arrive(worker, order);
+  mHoldsOrder = nullptr;
+  for (const auto& [worker, order] : std::exchange(mHeldOrders, {})) {
+    DeliverOrder(worker, order);
   }
 }
 
 bool
-fake_group::HandOver(std::size_t aFrom, const worker_order& aOrder)
+fake_group::PassToRelay(std::size_t aFrom, const worker_order& aOrder)
 {
   if (aOrder.mRelay.empty()) {
     return true;
   }
   ++mCounts["order.carried"];
-  const std::size_t carrier = std::stoul(aOrder.mRelay.substr(1));
-  const process& one = mNodes[carrier];
+  const std::size_t relay = std::stoul(aOrder.mRelay.substr(1));
+  const process& one = mNodes[relay];
   if (one.mCore != nullptr && !one.mPaused && !one.mCut &&
       !mNodes[aFrom].mCut) {
     return true;
   }
-  At(kHandOverBound, [this, aFrom, name = aOrder.mRelay]() {
+  At(kRelayTimeout, [this, aFrom, name = aOrder.mRelay]() {
     if (mNodes[aFrom].mCore != nullptr) {
       mNodes[aFrom].mCore->OnRelayFailure(name, At());
     }
@@ -304,55 +305,55 @@
 }
 
 void
-fake_group::Beats()
+fake_group::SendHeartbeats()
 {
   for (worker_place& place : mWorkers) {
-    if (place.mCut || !place.mWorker->IsUp() || mNow < place.mBeatAt) {
+    if (place.mCut || !place.mWorker->IsUp() || mNow < place.mNextHeartbeatAt) {
       continue;
     }
-    place.mBeatAt = mNow + kBeatEvery;
+    place.mNextHeartbeatAt = mNow + kHeartbeatInterval;
     SendRequest(worker_heartbeat{ place.mWorker->Description(),
                                   place.mWorker->mDraining,
                                   0,
                                   place.mWorker->ClockMs(mNow),
-                                  ++place.mBeat });
+                                  ++place.mLastHeartbeat });
   }
 }
 
 void
-fake_group::RestartCrashedWorkers(milliseconds aAway, bool aUnderTheirIds)
+fake_group::RestartCrashedWorkers(milliseconds aDelay, bool aUnderSameId)
 {
-  mAway = aAway;
-  mBackUnderTheirIds = aUnderTheirIds;
+  mRestartDelay = aDelay;
+  mRestartsUnderSameId = aUnderSameId;
 }
 
 void
-fake_group::Returns()
+fake_group::RestartDueWorkers()
 {
   for (worker_place& place : mWorkers) {
-    if (place.mWorker->IsUp() || !mAway) {
-      place.mBackAt.reset();
+    if (place.mWorker->IsUp() || !mRestartDelay) {
+      place.mRestartAt.reset();
       continue;
     }
-    place.mBackAt = place.mBackAt.value_or(mNow + *mAway);
-    if (mNow < *place.mBackAt) {
+    place.mRestartAt = place.mRestartAt.value_or(mNow + *mRestartDelay);
+    if (mNow < *place.mRestartAt) {
       continue;
     }
-    place.mBeat = 0;
-    place.mBeatAt = mNow;
-    if (mBackUnderTheirIds) {
+    place.mLastHeartbeat = 0;
+    place.mNextHeartbeatAt = mNow;
+    if (mRestartsUnderSameId) {
       place.mWorker->Restart(mNow);
     } else {
       const std::string& id = place.mWorker->Description().mId.Value();
       place.mWorker->RestartAs(id.substr(0, id.find('~')) + "~" +
-                                 std::to_string(++place.mLives),
+                                 std::to_string(++place.mIncarnations),
                                mNow);
     }
   }
 }
 
 void
-fake_group::Joins()
+fake_group::SendJoinRequests()
 {
   for (std::size_t node = 0; node < mNodes.size(); ++node) {
     const auto& one = mNodes[node];
@@ -364,13 +365,14 @@
 }
 
 std::size_t
-fake_group::AddWorker(const std::string& aId, double aSlow)
+fake_group::AddWorker(const std::string& aId, double aClockDrift)
 {
-  worker_description facts = testing::Worker(aId);
-  facts.mAddress = "w" + std::to_string(mWorkers.size()) + ":1";
-  facts.mProcessStartMs = At().mWallMs;
+  worker_description description = testing::Worker(aId);
+  description.mAddress = "w" + std::to_string(mWorkers.size()) + ":1";
+  description.mProcessStartMs = At().mWallMs;
   worker_place& place = mWorkers.emplace_back();
-  place.mWorker = std::make_unique<fake_worker>(facts, aSlow, mOracle);
+  place.mWorker =
+    std::make_unique<fake_worker>(description, aClockDrift, mOracle);
   return mWorkers.size() - 1;
 }
 
@@ -379,8 +381,8 @@
 {
   worker_place& place = mWorkers[aWorker];
   place.mWorker->Restart(mNow);
-  place.mBeat = 0;
-  place.mBeatAt = mNow + aSilence;
+  place.mLastHeartbeat = 0;
+  place.mNextHeartbeatAt = mNow + aSilence;
 }
 
 void
@@ -412,7 +414,7 @@
     // The contents of its disk decide, as for the real process.
     const bool isEmpty =
       one.mDisk.Content().mHardState == consensus::hard_state{};
-    one.mFresh = one.mDisk.IsWiped() || (aNode >= mFounders && isEmpty);
+    one.mFresh = one.mDisk.IsWiped() || (aNode >= mInitialMembers && isEmpty);
     Make(aNode);
   }
 }
@@ -458,12 +460,12 @@
   const call_number call = ++mLastCall;
   mNodes[*leader].mCore->HandleRequest(call, aRequest, At());
   std::optional<flow_answer> answer;
-  constexpr int kMostSteps = 40;
-  for (int step = 0; step < kMostSteps && !answer; ++step) {
+  constexpr int kMaxSteps = 40;
+  for (int step = 0; step < kMaxSteps && !answer; ++step) {
     if (mNodes[*leader].mCore == nullptr || mNodes[*leader].mPaused) {
       return std::nullopt;
     }
-    Pump(*leader);
+    ForwardEffects(*leader);
     for (const flow_reply& reply : mNodes[*leader].mReplies) {
       if (reply.mCall == call && reply.mAnswer) {
         answer = *reply.mAnswer;
--- a/testing/flow/fake_group.h
+++ b/testing/flow/fake_group.h
@@ -28,9 +28,9 @@
   // The first aInitialMembers of aNodes form the group; the others request to
   // join.
   fake_group(std::size_t aNodes,
-             std::size_t aFounders,
+             std::size_t aInitialMembers,
              std::uint64_t aSeed,
-             std::size_t aMostVoters = 9,
+             std::size_t aMaxVoters = 9,
              flow_options aOptions = {});
 
   // Advances the time by aFor, in steps of 5 ms.
@@ -38,13 +38,13 @@
   // Runs until aDone() is true, for at most aAtMost. Returns whether it is.
   bool RunUntil(const std::function<bool()>& aDone, duration aAtMost);
 
-  std::size_t AddWorker(const std::string& aId, double aSlow = 0);
+  std::size_t AddWorker(const std::string& aId, double aClockDrift = 0);
   // Restarts its process under its id; the first heartbeat follows aSilence
   // later.
   void RestartWorker(std::size_t aWorker, duration aSilence = {});
   // Restarts each worker aDelay after its process died: under its id, or under
   // another id at its address. Without this it stays down.
-  void RestartCrashedWorkers(milliseconds aAway, bool aUnderTheirIds);
+  void RestartCrashedWorkers(milliseconds aDelay, bool aUnderSameId);
   void Kill(std::size_t aNode, bool aLoseUnsynced = false);
   void Wipe(std::size_t aNode); // also kills the node
   void Restart(std::size_t aNode);
@@ -58,14 +58,14 @@
   // Delays each order and each answer by up to aMax, at random, as in the
   // leader's queues and in transit. The worker executes every order that
   // arrives.
-  void SetOrderDelay(milliseconds aMost) { mOrderDelay = aMost; }
+  void SetOrderDelay(milliseconds aMax) { mOrderDelay = aMax; }
   // Holds the orders that aWhich selects, without an answer, until
   // ReleaseOrders() delivers them to whichever process is there by then. This
   // simulates a relay that is suspended.
   void HoldOrders(std::function<bool(const worker_order&)> aWhich);
   void ReleaseOrders();
   // Sets how long a write to a disk takes.
-  void SetSyncTime(milliseconds aSync) { mSync = aSync; }
+  void SetSyncTime(milliseconds aTime) { mSyncTime = aTime; }
 
   // Sends the request to the leader and runs until it is answered, except for a
   // heartbeat, which may be answered later. None: no leader, or no answer in
@@ -101,53 +101,53 @@
     bool mPaused = false;
     bool mCut = false;
     bool mFresh = false;
-    std::uint64_t mLife = 0;
+    std::uint64_t mIncarnation = 0;
     std::vector<flow_reply> mReplies;
   };
   struct worker_place
   {
     std::unique_ptr<fake_worker> mWorker;
     bool mCut = false;
-    std::int64_t mBeat = 0;
-    time_point mBeatAt{};
-    std::optional<time_point> mBackAt{};
-    int mLives = 1;
+    std::int64_t mLastHeartbeat = 0;
+    time_point mNextHeartbeatAt{};
+    std::optional<time_point> mRestartAt{};
+    int mIncarnations = 1;
   };
 
   [[nodiscard]] instant At() const;
   void Make(std::size_t aNode);
   void Step();
-  void Pump(std::size_t aNode);
+  void ForwardEffects(std::size_t aNode);
   void Deliver(std::size_t aFrom, const consensus::message& aMessage);
-  void Order(std::size_t aFrom, const worker_order& aOrder);
+  void SendOrder(std::size_t aFrom, const worker_order& aOrder);
   // Delivers the order to the worker's current process.
-  order_answer Arrive(std::size_t aWorker, const worker_order& aOrder);
+  order_answer DeliverOrder(std::size_t aWorker, const worker_order& aOrder);
   // Returns false if the order's relay can't be reached; the leader learns it
   // later.
-  bool HandOver(std::size_t aFrom, const worker_order& aOrder);
-  void Beats();
-  void Returns();
-  void Joins();
+  bool PassToRelay(std::size_t aFrom, const worker_order& aOrder);
+  void SendHeartbeats();
+  void RestartDueWorkers();
+  void SendJoinRequests();
   void At(duration aAfter, std::function<void()> aDo);
   static consensus::node_id Id(std::size_t aNode);
 
   random_source mRandom;
-  std::size_t mFounders;
-  std::size_t mMostVoters;
+  std::size_t mInitialMembers;
+  std::size_t mMaxVoters;
   flow_options mOptions;
   time_point mNow{ seconds(1'000) };
   std::vector<process> mNodes;
   std::vector<worker_place> mWorkers;
   std::multimap<time_point, std::function<void()>> mEvents;
   run_oracle mOracle;
-  std::function<bool(const worker_order&)> mHoldsBack;
-  std::vector<std::pair<std::size_t, worker_order>>
-    mHeld; // with the worker's index
-  std::optional<milliseconds> mAway;
-  bool mBackUnderTheirIds = false;
+  std::function<bool(const worker_order&)> mHoldsOrder;
+  // With the index of the worker.
+  std::vector<std::pair<std::size_t, worker_order>> mHeldOrders;
+  std::optional<milliseconds> mRestartDelay;
+  bool mRestartsUnderSameId = false;
   double mLateShare = 0;
   milliseconds mOrderDelay{ 0 };
-  milliseconds mSync{ 9 };
+  milliseconds mSyncTime{ 9 };
   call_number mLastCall = 0;
   std::map<std::string, std::size_t> mCounts;
 };
--- a/testing/flow/fake_worker.cc
+++ b/testing/flow/fake_worker.cc
@@ -11,14 +11,14 @@
 
 namespace {
 
-constexpr std::int64_t kLongestLeaseMs = 6'000;
-constexpr milliseconds kCrashesAfter{ 10 };
+constexpr std::int64_t kMaxLeaseMs = 6'000;
+constexpr milliseconds kCrashDelay{ 10 };
 // How long leaders may still use a capacity after it has shrunk: the time that
 // the platform allows for contact, and a heartbeat interval.
-constexpr milliseconds kShrinksAfter{ 4'500 };
+constexpr milliseconds kCapacityGrace{ 4'500 };
 
 std::string
-Name(const run_ref& aRun)
+Describe(const run_ref& aRun)
 {
   return aRun.mTask.mJob.Value() + "." + std::to_string(aRun.mTask.mStep) +
          "." + std::to_string(aRun.mTask.mIndex) + " attempt " +
@@ -26,7 +26,7 @@
 }
 
 order_answer
-With(order_result aResult)
+AnswerWith(order_result aResult)
 {
   order_answer answer;
   answer.mResult = aResult;
@@ -41,21 +41,22 @@
   ++mStarts;
   auto& running = mRunning[aRun.mTask];
   if (!running.empty()) {
-    mBroken.push_back(Name(aRun) + " starts at " + aWhere +
-                      " while another attempt runs");
+    mViolations.push_back(Describe(aRun) + " starts at " + aWhere +
+                          " while another attempt runs");
   }
-  if (mDoneNoted.contains(aRun.mTask)) {
-    mBroken.push_back(Name(aRun) + " starts at " + aWhere +
-                      " after its end as done was noted");
+  if (mAcknowledgedAsDone.contains(aRun.mTask)) {
+    mViolations.push_back(Describe(aRun) + " starts at " + aWhere +
+                          " after its end as done was acknowledged");
   }
   running.insert(aRun.mAttempt);
-  constexpr std::size_t kMostCrashes = 3;
-  constexpr std::size_t kMostStartsAfter = 2;
+  constexpr std::size_t kMaxCrashes = 3;
+  constexpr std::size_t kMaxStartsAfterCrashes = 2;
   if (mCrashesWorker && mCrashesWorker(aRun.mTask) &&
-      CrashCount(aRun.mTask) >= kMostCrashes &&
-      ++mStartsAfter[aRun.mTask] > kMostStartsAfter) {
-    mBroken.push_back(Name(aRun) + " starts at " + aWhere +
-                      ", the third time after three workers crashed under it");
+      CrashCount(aRun.mTask) >= kMaxCrashes &&
+      ++mStartsAfterCrashes[aRun.mTask] > kMaxStartsAfterCrashes) {
+    mViolations.push_back(
+      Describe(aRun) + " starts at " + aWhere +
+      ", the third time after three workers crashed under it");
   }
   if (mOnStart) {
     mOnStart(aRun);
@@ -90,21 +91,22 @@
 run_oracle::OnEndAcknowledged(const run_ref& aRun)
 {
   if (mEnds[aRun] == run_outcome::Done && !mExcused.contains(aRun)) {
-    mDoneNoted.insert(aRun.mTask);
+    mAcknowledgedAsDone.insert(aRun.mTask);
   }
 }
 
 void
 run_oracle::OnOverCapacity(const run_ref& aRun, const std::string& aWhere)
 {
-  mBroken.push_back(Name(aRun) + " brings " + aWhere + " over its capacity");
+  mViolations.push_back(Describe(aRun) + " brings " + aWhere +
+                        " over its capacity");
 }
 
-fake_worker::fake_worker(worker_description aFacts,
-                         double aSlow,
+fake_worker::fake_worker(worker_description aDescription,
+                         double aClockDrift,
                          run_oracle& aOracle)
-  : mFacts(std::move(aFacts))
-  , mSlow(aSlow)
+  : mDescription(std::move(aDescription))
+  , mClockDrift(aClockDrift)
   , mOracle(aOracle)
 {
 }
@@ -114,47 +116,49 @@
 {
   const auto since =
     std::chrono::duration_cast<milliseconds>(aNow - mClockZero).count();
-  return static_cast<std::int64_t>(static_cast<double>(since) * (1.0 - mSlow));
+  return static_cast<std::int64_t>(static_cast<double>(since) *
+                                   (1.0 - mClockDrift));
 }
 
 order_answer
 fake_worker::Handle(const worker_order& aOrder, time_point aNow)
 {
   Advance(aNow);
-  if (!mUp || aOrder.mWorkerId != mFacts.mId) {
-    return With(mUp ? order_result::OtherIncarnation : order_result::NotSent);
+  if (!mIsUp || aOrder.mWorkerId != mDescription.mId) {
+    return AnswerWith(mIsUp ? order_result::OtherIncarnation
+                            : order_result::NotSent);
   }
-  order_answer answer = With(order_result::Done);
+  order_answer answer = AnswerWith(order_result::Done);
   if (aOrder.mFence < mFence) {
     answer.mResult = order_result::Superseded;
     return answer;
   }
   mFence = aOrder.mFence;
   if (aOrder.mLeaseClockMs) {
-    const std::int64_t most = ClockMs(aNow) + kLongestLeaseMs;
+    const std::int64_t maxMs = ClockMs(aNow) + kMaxLeaseMs;
     mLeaseClockMs =
-      std::max(mLeaseClockMs, std::min(*aOrder.mLeaseClockMs, most));
+      std::max(mLeaseClockMs, std::min(*aOrder.mLeaseClockMs, maxMs));
   }
   std::visit(overloaded{
                [&](const start_order& aStart) {
                  answer = *aOrder.mLeaseClockMs <= ClockMs(aNow)
-                            ? With(order_result::LeaseExpired)
+                            ? AnswerWith(order_result::LeaseExpired)
                             : Start(aStart, aNow);
                },
                [&](const stop_order& aStop) {
-                 attempt_t& over = mOver[aStop.mRun.mTask];
+                 attempt_t& over = mFinishedAttempts[aStop.mRun.mTask];
                  over = std::max(over, aStop.mRun.mAttempt);
                  if (mRuns.contains(aStop.mRun)) {
                    End(aStop.mRun, run_outcome::Stopped);
                  }
                },
-               [&](const poll_order& aHold) {
-                 Forget(aHold.mCursor);
+               [&](const poll_order& aPoll) {
+                 Forget(aPoll.mCursor);
                  for (const auto& [run, live] : mRuns) {
                    answer.mRunning.push_back({ run, {}, 100, 0 });
                  }
                  answer.mEnded = mEnds;
-                 answer.mProcessStartMs = mFacts.mProcessStartMs;
+                 answer.mProcessStartMs = mDescription.mProcessStartMs;
                },
                [](const pace_order&) {},
              },
@@ -166,16 +170,16 @@
 void
 fake_worker::Forget(std::uint64_t aCursor)
 {
-  if (mForgetsOnHigherCursor && aCursor <= mToldCursor) {
+  if (mForgetsOnHigherCursor && aCursor <= mAcknowledgedCursor) {
     return;
   }
-  mToldCursor = aCursor;
+  mAcknowledgedCursor = aCursor;
   std::erase_if(mEnds, [&](const listed_end& aEnd) {
-    const bool told = aEnd.mNumber <= aCursor;
-    if (told) {
+    const bool isAcknowledged = aEnd.mNumber <= aCursor;
+    if (isAcknowledged) {
       mOracle.OnEndAcknowledged(aEnd.mEnd.mRun);
     }
-    return told;
+    return isAcknowledged;
   });
 }
 
@@ -183,30 +187,29 @@
 fake_worker::Start(const start_order& aStart, time_point aNow)
 {
   if (mRuns.contains(aStart.mRun)) {
-    return With(order_result::Done);
+    return AnswerWith(order_result::Done);
   }
-  const auto over = mOver.find(aStart.mRun.mTask);
-  if (over != mOver.end() && aStart.mRun.mAttempt <= over->second) {
-    return With(order_result::StaleAttempt);
+  const auto over = mFinishedAttempts.find(aStart.mRun.mTask);
+  if (over != mFinishedAttempts.end() && aStart.mRun.mAttempt <= over->second) {
+    return AnswerWith(order_result::StaleAttempt);
   }
-  mOracle.OnStarted(aStart.mRun, mFacts.mId.Value());
+  mOracle.OnStarted(aStart.mRun, mDescription.mId.Value());
   const bool crashes =
     mOracle.mCrashesWorker && mOracle.mCrashesWorker(aStart.mRun.mTask);
-  mRuns[aStart.mRun] = { aNow + (crashes ? kCrashesAfter : mWorkTime),
-                         crashes };
+  mRuns[aStart.mRun] = { aNow + (crashes ? kCrashDelay : mWorkTime), crashes };
   const cell::resources used =
     mTaskSize * static_cast<std::int64_t>(mRuns.size());
-  if (!mHandlesLateOrder && !MayHold(used, aNow)) {
-    mOracle.OnOverCapacity(aStart.mRun, mFacts.mId.Value());
+  if (!mHandlesLateOrder && !FitsRecentCapacity(used, aNow)) {
+    mOracle.OnOverCapacity(aStart.mRun, mDescription.mId.Value());
   }
-  return With(order_result::Done);
+  return AnswerWith(order_result::Done);
 }
 
 void
 fake_worker::End(const run_ref& aRun, run_outcome aHow)
 {
   mRuns.erase(aRun);
-  attempt_t& over = mOver[aRun.mTask];
+  attempt_t& over = mFinishedAttempts[aRun.mTask];
   over = std::max(over, aRun.mAttempt);
   mEnds.push_back({ ++mLastEnd, { aRun, aHow, {} } });
   mOracle.OnEnded(aRun, aHow);
@@ -215,7 +218,7 @@
 void
 fake_worker::Advance(time_point aNow)
 {
-  if (!mUp) {
+  if (!mIsUp) {
     return;
   }
   std::vector<std::pair<run_ref, run_outcome>> over;
@@ -255,15 +258,17 @@
 void
 fake_worker::SetCapacity(const cell::resources& aCapacity, time_point aNow)
 {
-  mFormer.emplace_back(aNow, std::exchange(mFacts.mCapacity, aCapacity));
+  mFormerCapacities.emplace_back(
+    aNow, std::exchange(mDescription.mCapacity, aCapacity));
 }
 
 bool
-fake_worker::MayHold(const cell::resources& aUsed, time_point aNow) const
+fake_worker::FitsRecentCapacity(const cell::resources& aUsed,
+                                time_point aNow) const
 {
-  return aUsed.FitsIn(mFacts.mCapacity) ||
-         std::ranges::any_of(mFormer, [&](const auto& aFormer) {
-           return aNow < aFormer.first + kShrinksAfter &&
+  return aUsed.FitsIn(mDescription.mCapacity) ||
+         std::ranges::any_of(mFormerCapacities, [&](const auto& aFormer) {
+           return aNow < aFormer.first + kCapacityGrace &&
                   aUsed.FitsIn(aFormer.second);
          });
 }
@@ -271,7 +276,7 @@
 void
 fake_worker::Die()
 {
-  mUp = false;
+  mIsUp = false;
   for (const auto& [run, live] : std::exchange(mRuns, {})) {
     mOracle.OnCrashed(run);
   }
@@ -281,22 +286,22 @@
 fake_worker::RestartAs(const std::string& aId, time_point aNow)
 {
   Restart(aNow);
-  mFacts.mId = worker_id(aId);
+  mDescription.mId = worker_id(aId);
 }
 
 void
 fake_worker::Restart(time_point aNow)
 {
   Crash(aNow);
-  mUp = true;
+  mIsUp = true;
   mFence = 0;
   mLeaseClockMs = 0;
-  mOver.clear();
+  mFinishedAttempts.clear();
   mEnds.clear();
   mLastEnd = 0;
-  mToldCursor = 0;
+  mAcknowledgedCursor = 0;
   mClockZero = aNow;
-  mFacts.mProcessStartMs =
+  mDescription.mProcessStartMs =
     std::chrono::duration_cast<milliseconds>(aNow.time_since_epoch()).count();
 }
 
--- a/testing/flow/fake_worker.h
+++ b/testing/flow/fake_worker.h
@@ -38,7 +38,7 @@
 
   [[nodiscard]] const std::vector<std::string>& Violations() const
   {
-    return mBroken;
+    return mViolations;
   }
   [[nodiscard]] std::size_t Starts() const { return mStarts; }
 
@@ -53,19 +53,21 @@
   std::map<task_ref, std::set<attempt_t>> mRunning;
   std::map<run_ref, run_outcome> mEnds;
   std::set<run_ref> mExcused;
-  std::set<task_ref> mDoneNoted;
+  std::set<task_ref> mAcknowledgedAsDone;
   std::map<task_ref, std::size_t> mCrashes;
-  std::map<task_ref, std::size_t>
-    mStartsAfter; // after three crashes under the task
-  std::vector<std::string> mBroken;
+  // Starts after three crashes under the task.
+  std::map<task_ref, std::size_t> mStartsAfterCrashes;
+  std::vector<std::string> mViolations;
   std::size_t mStarts = 0;
 };
 
 class fake_worker
 {
 public:
-  // aSlow: the fraction by which its clock runs slower than true time.
-  fake_worker(worker_description aFacts, double aSlow, run_oracle& aOracle);
+  // aClockDrift: the fraction by which its clock runs slower than true time.
+  fake_worker(worker_description aDescription,
+              double aClockDrift,
+              run_oracle& aOracle);
 
   // Executes the order at aNow and returns the answer.
   order_answer Handle(const worker_order& aOrder, time_point aNow);
@@ -80,8 +82,11 @@
   // Like Restart(), under another id.
   void RestartAs(const std::string& aId, time_point aNow);
   [[nodiscard]] std::int64_t ClockMs(time_point aNow) const;
-  [[nodiscard]] const worker_description& Description() const { return mFacts; }
-  [[nodiscard]] bool IsUp() const { return mUp; }
+  [[nodiscard]] const worker_description& Description() const
+  {
+    return mDescription;
+  }
+  [[nodiscard]] bool IsUp() const { return mIsUp; }
   // Changes its capacity, which its next heartbeat reports.
   void SetCapacity(const cell::resources& aCapacity, time_point aNow);
 
@@ -108,23 +113,24 @@
   void Forget(std::uint64_t aCursor);
   void Die();
   // Whether aUsed fits in its capacity, or in a recent one.
-  [[nodiscard]] bool MayHold(const cell::resources& aUsed,
-                             time_point aNow) const;
+  [[nodiscard]] bool FitsRecentCapacity(const cell::resources& aUsed,
+                                        time_point aNow) const;
 
-  worker_description mFacts;
-  double mSlow;
+  worker_description mDescription;
+  double mClockDrift;
   run_oracle& mOracle;
-  bool mUp = true;
+  bool mIsUp = true;
   std::uint64_t mFence = 0;
   std::int64_t mLeaseClockMs = 0;
   std::map<run_ref, live_run> mRuns;
-  std::map<task_ref, attempt_t> mOver; // the highest that ended or was stopped
+  // The highest attempts that ended or were stopped.
+  std::map<task_ref, attempt_t> mFinishedAttempts;
   std::vector<listed_end> mEnds;
   std::uint64_t mLastEnd = 0;
-  std::uint64_t mToldCursor = 0;
+  std::uint64_t mAcknowledgedCursor = 0;
   time_point mClockZero{};
   // Former capacities, with the time when each was replaced.
-  std::vector<std::pair<time_point, cell::resources>> mFormer;
+  std::vector<std::pair<time_point, cell::resources>> mFormerCapacities;
 };
 
 } // namespace oriolewalk::flow
--- a/testing/flow/flow_history.cc
+++ b/testing/flow/flow_history.cc
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kNodes = 3;
 constexpr std::size_t kWorkers = 3;
-constexpr std::size_t kMostVoters = 9;
+constexpr std::size_t kMaxVoters = 9;
 
 class player
 {
@@ -23,26 +23,26 @@
   player(const flow_choices& aChoose,
          std::uint64_t aSeed,
          flow_options aOptions,
-         history_faults aTroubles,
-         history_counts& aAccount)
+         history_faults aFaults,
+         history_counts& aCounts)
     : mChoose(aChoose)
-    , mTroubles(aTroubles)
-    , mAccount(aAccount)
-    , mGroup(kNodes, kNodes, aSeed, kMostVoters, aOptions)
+    , mFaults(aFaults)
+    , mCounts(aCounts)
+    , mGroup(kNodes, kNodes, aSeed, kMaxVoters, aOptions)
   {
-    if (mTroubles.mRestarts) {
+    if (mFaults.mRestarts) {
       mActions.push_back(&player::RestartWorker);
       mActions.push_back(&player::RestartWorker);
     }
-    if (mTroubles.mHolds) {
+    if (mFaults.mHolds) {
       mActions.push_back(&player::HoldOrders);
       mActions.push_back(&player::ReleaseOrders);
     }
-    if (mTroubles.mShrinking) {
+    if (mFaults.mShrinking) {
       mActions.insert(mActions.end(), 3, &player::Resize);
     }
-    if (mTroubles.mCrashing) {
-      SetCrashes();
+    if (mFaults.mCrashing) {
+      EnableCrashes();
     }
     for (std::size_t worker = 0; worker < kWorkers; ++worker) {
       AddWorker();
@@ -50,9 +50,9 @@
     mGroup.Run(seconds(2));
   }
 
-  std::optional<std::string> Play(int aMost)
+  std::optional<std::string> Play(int aMaxActions)
   {
-    for (int done = 0; done < aMost; ++done) {
+    for (int done = 0; done < aMaxActions; ++done) {
       const auto chosen = mChoose(mActions.size());
       if (!chosen) {
         break;
@@ -82,15 +82,15 @@
            (found->second || aTask.mIndex == 0);
   }
 
-  void SetCrashes()
+  void EnableCrashes()
   {
     mGroup.RestartCrashedWorkers(milliseconds(500 * (1 + Choose(16))),
-                                 mTroubles.mRestarts && Choose(2) == 0);
+                                 mFaults.mRestarts && Choose(2) == 0);
     mGroup.Oracle().mCrashesWorker = [this](const task_ref& aTask) {
       return IsCrashing(aTask);
     };
     mGroup.Oracle().mOnStart = [this](const run_ref& aRun) {
-      mAccount.mCrashingStarts += IsCrashing(aRun.mTask) ? 1 : 0;
+      mCounts.mCrashingStarts += IsCrashing(aRun.mTask) ? 1 : 0;
     };
   }
 
@@ -104,11 +104,11 @@
     mWorkers.push_back(made);
   }
 
-  void LetTimePass()
+  void AdvanceTime()
   {
-    if (mTroubles.mBusy) {
-      constexpr std::uint64_t kBusyOf = 3; // one span in three is busy
-      const bool busy = Choose(kBusyOf) == 0;
+    if (mFaults.mBusy) {
+      constexpr std::uint64_t kBusyOneIn = 3; // one span in three is busy
+      const bool busy = Choose(kBusyOneIn) == 0;
       mGroup.SetOrderDelay(milliseconds(busy ? 100 + 100 * Choose(30) : 0));
       mGroup.SetSyncTime(milliseconds(busy ? 10 + 100 * Choose(10) : 9));
     }
@@ -120,7 +120,8 @@
     constexpr const char* kHex = "0123456789abcdef";
     // A job that reused the id of one without an answer would be the same job,
     // and crash as that one does.
-    const std::size_t number = mTroubles.mCrashing ? mSent++ : mJobs.size();
+    const std::size_t number =
+      mFaults.mCrashing ? mSubmittedJobs++ : mJobs.size();
     if (number >= 16) {
       return;
     }
@@ -130,8 +131,8 @@
     first.mGang = Choose(4) == 0;
     step_spec second = testing::Step(2, 2'000);
     second.mDependsOn = { 0 };
-    constexpr std::uint64_t kCrashingOf = 5; // one job in five
-    if (mTroubles.mCrashing && Choose(kCrashingOf) == 0) {
+    constexpr std::uint64_t kCrashingOneIn = 5; // one job in five
+    if (mFaults.mCrashing && Choose(kCrashingOneIn) == 0) {
       // The members of a gang end together, so all of them crash.
       mCrashing[id] = first.mGang || Choose(4) == 0;
     }
@@ -168,11 +169,11 @@
       }
     }
     const auto leader = mGroup.Leader();
-    if (mWiped || !leader || *leader == chosen ||
+    if (mHasWipedDisk || !leader || *leader == chosen ||
         mGroup.Core(*leader).Raft().Members().mVoters.size() < kNodes) {
       return;
     }
-    mWiped = true;
+    mHasWipedDisk = true;
     mGroup.Wipe(chosen);
   }
 
@@ -193,8 +194,8 @@
   void LoseOrders() { mGroup.SetLateShare(Choose(2) == 0 ? 0.0 : 0.4); }
   void Crash()
   {
-    constexpr std::size_t kMostWorkers = 8;
-    if (mWorkers.size() < kMostWorkers) {
+    constexpr std::size_t kMaxWorkers = 8;
+    if (mWorkers.size() < kMaxWorkers) {
       mGroup.Worker(mWorkers[Choose(mWorkers.size())]).Crash(mGroup.Now());
       AddWorker();
     }
@@ -248,17 +249,17 @@
     }
     const std::string last = state();
     Count(aId, last);
-    if (MayEndAs(aId, aCancelled, last)) {
+    if (IsAllowedEnd(aId, aCancelled, last)) {
       return std::nullopt;
     }
-    std::string broken = "in the end a job is '";
-    broken.append(last).append("': ").append(aId);
-    return broken;
+    std::string violation = "at the end a job is '";
+    violation.append(last).append("': ").append(aId);
+    return violation;
   }
 
-  bool MayEndAs(const std::string& aId,
-                bool aCancelled,
-                const std::string& aState)
+  bool IsAllowedEnd(const std::string& aId,
+                    bool aCancelled,
+                    const std::string& aState)
   {
     if (aState == "cancelled") {
       return aCancelled;
@@ -269,28 +270,27 @@
     if (mCrashing.contains(aId)) {
       return aState == "failed";
     }
-    return aState == "done" ||
-           (aState == "failed" && MostCrashesUnder(aId) >= 2);
+    return aState == "done" || (aState == "failed" && MaxCrashCount(aId) >= 2);
   }
 
-  [[nodiscard]] std::size_t MostCrashesUnder(const std::string& aId)
+  [[nodiscard]] std::size_t MaxCrashCount(const std::string& aId)
   {
-    std::size_t most = 0;
-    constexpr std::uint32_t kMostTasks = 6;
-    for (std::uint32_t at = 0; at < 2 * kMostTasks; ++at) {
-      const task_ref task{ job_id(aId), 0, at / kMostTasks, at % kMostTasks };
-      most = std::max(most, mGroup.Oracle().CrashCount(task));
+    std::size_t max = 0;
+    constexpr std::uint32_t kMaxTasks = 6;
+    for (std::uint32_t at = 0; at < 2 * kMaxTasks; ++at) {
+      const task_ref task{ job_id(aId), 0, at / kMaxTasks, at % kMaxTasks };
+      max = std::max(max, mGroup.Oracle().CrashCount(task));
     }
-    return most;
+    return max;
   }
 
   void Count(const std::string& aId, const std::string& aState)
   {
     if (mCrashing.contains(aId)) {
-      ++mAccount.mCrashingJobs;
+      ++mCounts.mCrashingJobs;
     } else {
-      ++mAccount.mNormalJobs;
-      mAccount.mFailedNormalJobs += aState == "failed" ? 1 : 0;
+      ++mCounts.mNormalJobs;
+      mCounts.mFailedNormalJobs += aState == "failed" ? 1 : 0;
     }
   }
 
@@ -306,7 +306,7 @@
     Restart();
     for (const std::size_t worker : mWorkers) {
       mGroup.CutWorker(worker, false);
-      if (mTroubles.mShrinking) {
+      if (mFaults.mShrinking) {
         mGroup.Worker(worker).SetCapacity(testing::Worker("w").mCapacity,
                                           mGroup.Now());
       }
@@ -319,26 +319,26 @@
       return mGroup.Oracle().Violations().front();
     }
     for (const auto& [id, cancelled] : mJobs) {
-      if (auto broken = CheckEnd(id, cancelled)) {
-        return broken;
+      if (auto violation = CheckEnd(id, cancelled)) {
+        return violation;
       }
     }
     return std::nullopt;
   }
 
   const flow_choices& mChoose;
-  history_faults mTroubles;
-  history_counts& mAccount;
+  history_faults mFaults;
+  history_counts& mCounts;
   fake_group mGroup;
   std::vector<std::size_t> mWorkers;
   std::map<std::string, bool> mJobs; // whether a cancel was sent
   // Jobs with tasks that crash their workers; true if all tasks of the step do.
   std::map<std::string, bool> mCrashing;
-  std::size_t mSent = 0; // submitted jobs, answered or not
-  bool mWiped = false;
+  std::size_t mSubmittedJobs = 0; // submitted jobs, answered or not
+  bool mHasWipedDisk = false;
   std::vector<action_function> mActions = {
-    &player::LetTimePass, &player::LetTimePass, &player::LetTimePass,
-    &player::LetTimePass, &player::Submit,      &player::Submit,
+    &player::AdvanceTime, &player::AdvanceTime, &player::AdvanceTime,
+    &player::AdvanceTime, &player::Submit,      &player::Submit,
     &player::Submit,      &player::Cancel,      &player::Kill,
     &player::Wipe,        &player::Restart,     &player::Restart,
     &player::Pause,       &player::Cut,         &player::CutWorker,
@@ -350,33 +350,34 @@
 
 std::optional<std::string>
 PlayFlowHistory(const flow_choices& aChoose,
-                int aMost,
+                int aMaxActions,
                 flow_options aOptions,
-                history_faults aTroubles,
-                history_counts* aAccount)
+                history_faults aFaults,
+                history_counts* aCounts)
 {
   const std::uint64_t seed = aChoose(1U << 16U).value_or(1);
-  history_counts account;
-  auto broken = player(aChoose, seed, aOptions, aTroubles, account).Play(aMost);
-  if (aAccount != nullptr) {
-    *aAccount = account;
+  history_counts counts;
+  auto violation =
+    player(aChoose, seed, aOptions, aFaults, counts).Play(aMaxActions);
+  if (aCounts != nullptr) {
+    *aCounts = counts;
   }
-  return broken;
+  return violation;
 }
 
 std::optional<std::string>
 PlayFlowSeed(std::uint64_t aSeed,
-             int aMost,
+             int aMaxActions,
              flow_options aOptions,
-             history_faults aTroubles,
-             history_counts* aAccount)
+             history_faults aFaults,
+             history_counts* aCounts)
 {
   random_source random(aSeed);
   const flow_choices choose =
     [&](std::uint64_t aBound) -> std::optional<std::uint64_t> {
     return random.Below(aBound);
   };
-  return PlayFlowHistory(choose, aMost, aOptions, aTroubles, aAccount);
+  return PlayFlowHistory(choose, aMaxActions, aOptions, aFaults, aCounts);
 }
 
 } // namespace oriolewalk::flow
--- a/testing/flow/flow_history.h
+++ b/testing/flow/flow_history.h
@@ -56,17 +56,17 @@
 // the leader's calls.
 std::optional<std::string>
 PlayFlowHistory(const flow_choices& aChoose,
-                int aMost,
+                int aMaxActions,
                 flow_options aOptions = {},
-                history_faults aTroubles = {},
-                history_counts* aAccount = nullptr);
+                history_faults aFaults = {},
+                history_counts* aCounts = nullptr);
 
 // Like PlayFlowHistory(), with all choices drawn from a seed.
 std::optional<std::string>
 PlayFlowSeed(std::uint64_t aSeed,
-             int aMost,
+             int aMaxActions,
              flow_options aOptions = {},
-             history_faults aTroubles = {},
-             history_counts* aAccount = nullptr);
+             history_faults aFaults = {},
+             history_counts* aCounts = nullptr);
 
 } // namespace oriolewalk::flow
--- a/testing/flow/restarted_worker_test.cc
+++ b/testing/flow/restarted_worker_test.cc
@@ -18,8 +18,8 @@
 
 using testing::Step;
 
-constexpr const char* kBefore = "00000000000000aa";
-constexpr const char* kAfter = "00000000000000bb";
+constexpr const char* kFirstJob = "00000000000000aa";
+constexpr const char* kNextJob = "00000000000000bb";
 
 template<class Body>
 std::function<bool(const worker_order&)>
@@ -32,26 +32,26 @@
 }
 
 bool
-NamesCursor(const worker_order& aOrder)
+SendsCursor(const worker_order& aOrder)
 {
-  const auto* hold = std::get_if<poll_order>(&aOrder.mBody);
-  return hold != nullptr && hold->mCursor > 0;
+  const auto* poll = std::get_if<poll_order>(&aOrder.mBody);
+  return poll != nullptr && poll->mCursor > 0;
 }
 
 // One worker that has finished twelve tasks, so that its cursor is at 12.
-struct worked_scene
+struct used_worker_fixture
 {
   fake_group mGroup;
 
-  explicit worked_scene(std::uint64_t aSeed, bool aForgetsOnRise)
+  explicit used_worker_fixture(std::uint64_t aSeed, bool aForgetsOnHigherCursor)
     : mGroup(3, 3, aSeed)
   {
     mGroup.AddWorker("w", 0.02);
     mGroup.Worker(0).mTaskSize = Step(1, 500).mSize;
-    mGroup.Worker(0).mForgetsOnHigherCursor = aForgetsOnRise;
+    mGroup.Worker(0).mForgetsOnHigherCursor = aForgetsOnHigherCursor;
     mGroup.Run(seconds(2));
-    mGroup.Submit(kBefore, { Step(12, 500) });
-    CHECK(EndsAsDone(kBefore, seconds(10)));
+    mGroup.Submit(kFirstJob, { Step(12, 500) });
+    CHECK(EndsAsDone(kFirstJob, seconds(10)));
   }
 
   bool EndsAsDone(const std::string& aJob, duration aWithin)
@@ -65,8 +65,8 @@
   void CheckNextJob()
   {
     const std::size_t before = mGroup.Oracle().Starts();
-    mGroup.Submit(kAfter, { Step(4, 500) });
-    CHECK(EndsAsDone(kAfter, seconds(6)));
+    mGroup.Submit(kNextJob, { Step(4, 500) });
+    CHECK(EndsAsDone(kNextJob, seconds(6)));
     CHECK(mGroup.Oracle().Starts() == before + 4);
     CHECK(mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
@@ -77,12 +77,12 @@
 TEST_CASE("ends at a restarted worker are counted exactly once")
 {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    for (const bool onRise : { false, true }) {
-      CAPTURE(seed, onRise);
-      worked_scene scene(seed, onRise);
-      scene.mGroup.RestartWorker(0);
-      scene.mGroup.Run(milliseconds(100));
-      scene.CheckNextJob();
+    for (const bool onHigherCursor : { false, true }) {
+      CAPTURE(seed, onHigherCursor);
+      used_worker_fixture fixture(seed, onHigherCursor);
+      fixture.mGroup.RestartWorker(0);
+      fixture.mGroup.Run(milliseconds(100));
+      fixture.CheckNextJob();
     }
   }
 }
@@ -91,11 +91,11 @@
 {
   // Guards against a live worker without work: its heartbeat numbers restart as
   // well, and its heartbeats are ignored until they reach the old number.
-  worked_scene scene(1, false);
-  scene.mGroup.Run(seconds(30));
-  scene.mGroup.RestartWorker(0);
-  scene.mGroup.Run(seconds(8));
-  scene.CheckNextJob();
+  used_worker_fixture fixture(1, false);
+  fixture.mGroup.Run(seconds(30));
+  fixture.mGroup.RestartWorker(0);
+  fixture.mGroup.Run(seconds(8));
+  fixture.CheckNextJob();
 }
 
 TEST_CASE("runs that a restart ended start again at once")
@@ -104,15 +104,15 @@
   // nothing runs there.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
-    worked_scene scene(seed, seed % 2 == 0);
-    scene.mGroup.Worker(0).mWorkTime = milliseconds(800);
-    scene.mGroup.Submit(kAfter, { Step(4, 500) });
-    scene.mGroup.Run(milliseconds(500));
-    CHECK(scene.mGroup.Oracle().Starts() == 16);
-    scene.mGroup.RestartWorker(0);
-    CHECK(scene.EndsAsDone(kAfter, milliseconds(1'200)));
-    CHECK(scene.mGroup.Oracle().Starts() == 20);
-    CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
+    used_worker_fixture fixture(seed, seed % 2 == 0);
+    fixture.mGroup.Worker(0).mWorkTime = milliseconds(800);
+    fixture.mGroup.Submit(kNextJob, { Step(4, 500) });
+    fixture.mGroup.Run(milliseconds(500));
+    CHECK(fixture.mGroup.Oracle().Starts() == 16);
+    fixture.mGroup.RestartWorker(0);
+    CHECK(fixture.EndsAsDone(kNextJob, milliseconds(1'200)));
+    CHECK(fixture.mGroup.Oracle().Starts() == 20);
+    CHECK(fixture.mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
@@ -123,11 +123,11 @@
   // forgets ends that weren't recorded, or lists them to a leader that compares
   // them with that cursor.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    for (const bool onRise : { false, true }) {
-      CAPTURE(seed, onRise);
-      worked_scene scene(seed, onRise);
-      scene.mGroup.RestartWorker(0, milliseconds(1'200));
-      scene.CheckNextJob();
+    for (const bool onHigherCursor : { false, true }) {
+      CAPTURE(seed, onHigherCursor);
+      used_worker_fixture fixture(seed, onHigherCursor);
+      fixture.mGroup.RestartWorker(0, milliseconds(1'200));
+      fixture.CheckNextJob();
     }
   }
 }
@@ -138,34 +138,34 @@
   // deregistration of the former process are delayed and arrive when the new
   // one has runs. Applied to the new process, the heartbeat would drain it, and
   // the deregistration would drop its runs.
-  worked_scene scene(1, false);
-  const worker_description earlier = scene.mGroup.Worker(0).Description();
-  scene.mGroup.RestartWorker(0);
-  scene.mGroup.Run(milliseconds(100));
-  scene.mGroup.Worker(0).mWorkTime = seconds(2);
-  const std::size_t before = scene.mGroup.Oracle().Starts();
-  scene.mGroup.Submit(kAfter, { Step(4, 500) });
-  scene.mGroup.Run(milliseconds(300));
-  scene.mGroup.SendRequest(worker_heartbeat{ earlier, true, 0, 1'000, 900 });
-  scene.mGroup.SendRequest(
+  used_worker_fixture fixture(1, false);
+  const worker_description earlier = fixture.mGroup.Worker(0).Description();
+  fixture.mGroup.RestartWorker(0);
+  fixture.mGroup.Run(milliseconds(100));
+  fixture.mGroup.Worker(0).mWorkTime = seconds(2);
+  const std::size_t before = fixture.mGroup.Oracle().Starts();
+  fixture.mGroup.Submit(kNextJob, { Step(4, 500) });
+  fixture.mGroup.Run(milliseconds(300));
+  fixture.mGroup.SendRequest(worker_heartbeat{ earlier, true, 0, 1'000, 900 });
+  fixture.mGroup.SendRequest(
     worker_deregistration{ earlier.mId, earlier.mProcessStartMs });
-  scene.mGroup.SendRequest(
+  fixture.mGroup.SendRequest(
     worker_deregistration{ earlier.mId, 0 }); // names no process
-  CHECK(scene.EndsAsDone(kAfter, seconds(4)));
-  CHECK(scene.mGroup.Oracle().Starts() == before + 4);
-  CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
+  CHECK(fixture.EndsAsDone(kNextJob, seconds(4)));
+  CHECK(fixture.mGroup.Oracle().Starts() == before + 4);
+  CHECK(fixture.mGroup.Oracle().Violations() == std::vector<std::string>{});
   // The current process's heartbeats count, and so does a deregistration that
   // names no process while the worker drains.
-  const worker_description own = scene.mGroup.Worker(0).Description();
+  const worker_description own = fixture.mGroup.Worker(0).Description();
   const auto isKnown = [&]() {
-    return scene.mGroup.Core(*scene.mGroup.Leader())
+    return fixture.mGroup.Core(*fixture.mGroup.Leader())
              .State()
              .NumberOf(own.mId) != 0;
   };
   CHECK(isKnown());
-  scene.mGroup.Worker(0).mDraining = true;
-  scene.mGroup.Run(seconds(2));
-  scene.mGroup.SendRequest(worker_deregistration{ own.mId, 0 });
+  fixture.mGroup.Worker(0).mDraining = true;
+  fixture.mGroup.Run(seconds(2));
+  fixture.mGroup.SendRequest(worker_deregistration{ own.mId, 0 });
   CHECK_FALSE(isKnown());
 }
 
@@ -182,10 +182,10 @@
     }
     group.Run(seconds(2));
     group.SetOrderDelay(milliseconds(300));
-    group.Submit(kAfter, { Step(6, 500) });
+    group.Submit(kNextJob, { Step(6, 500) });
     group.Run(milliseconds(20 * (seed % 10)));
     group.RestartWorker(0, milliseconds(50 * (seed % 7)));
-    CHECK(group.RunUntil([&]() { return group.StateOf(kAfter) == "done"; },
+    CHECK(group.RunUntil([&]() { return group.StateOf(kNextJob) == "done"; },
                          seconds(15)));
     CHECK(group.Oracle().Violations() == std::vector<std::string>{});
   }
@@ -196,21 +196,21 @@
   // Guards against tasks that start again after they ended as done: a poll with
   // the cursor arrives when the new process has ended tasks of its own.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    for (const bool onRise : { false, true }) {
-      CAPTURE(seed, onRise);
-      worked_scene scene(seed, onRise);
-      scene.mGroup.HoldOrders(NamesCursor);
-      scene.mGroup.Submit("00000000000000cc", { Step(1, 500) });
-      CHECK(scene.EndsAsDone("00000000000000cc", seconds(4)));
-      scene.mGroup.Worker(0).mWorkTime = milliseconds(50);
-      scene.mGroup.RestartWorker(0, milliseconds(700));
-      const std::size_t before = scene.mGroup.Oracle().Starts();
-      scene.mGroup.Submit(kAfter, { Step(4, 500) });
-      scene.mGroup.Run(milliseconds(150));
-      scene.mGroup.ReleaseOrders();
-      CHECK(scene.EndsAsDone(kAfter, seconds(6)));
-      CHECK(scene.mGroup.Oracle().Starts() == before + 4);
-      CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
+    for (const bool onHigherCursor : { false, true }) {
+      CAPTURE(seed, onHigherCursor);
+      used_worker_fixture fixture(seed, onHigherCursor);
+      fixture.mGroup.HoldOrders(SendsCursor);
+      fixture.mGroup.Submit("00000000000000cc", { Step(1, 500) });
+      CHECK(fixture.EndsAsDone("00000000000000cc", seconds(4)));
+      fixture.mGroup.Worker(0).mWorkTime = milliseconds(50);
+      fixture.mGroup.RestartWorker(0, milliseconds(700));
+      const std::size_t before = fixture.mGroup.Oracle().Starts();
+      fixture.mGroup.Submit(kNextJob, { Step(4, 500) });
+      fixture.mGroup.Run(milliseconds(150));
+      fixture.mGroup.ReleaseOrders();
+      CHECK(fixture.EndsAsDone(kNextJob, seconds(6)));
+      CHECK(fixture.mGroup.Oracle().Starts() == before + 4);
+      CHECK(fixture.mGroup.Oracle().Violations() == std::vector<std::string>{});
     }
   }
 }
@@ -222,17 +222,17 @@
   // the longest lease, and is partitioned before its first heartbeat.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
-    worked_scene scene(seed, false);
-    scene.mGroup.Run(seconds(8));
-    scene.mGroup.Worker(0).mWorkTime = milliseconds(5'500);
-    scene.mGroup.RestartWorker(0, seconds(30));
-    scene.mGroup.HoldOrders(OrdersTo<poll_order>("w"));
-    scene.mGroup.Submit(kAfter, { Step(1, 500) });
-    scene.mGroup.Run(milliseconds(100));
-    scene.mGroup.CutWorker(0, true);
-    scene.mGroup.AddWorker("w1", 0.02);
-    CHECK(scene.EndsAsDone(kAfter, seconds(15)));
-    CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
+    used_worker_fixture fixture(seed, false);
+    fixture.mGroup.Run(seconds(8));
+    fixture.mGroup.Worker(0).mWorkTime = milliseconds(5'500);
+    fixture.mGroup.RestartWorker(0, seconds(30));
+    fixture.mGroup.HoldOrders(OrdersTo<poll_order>("w"));
+    fixture.mGroup.Submit(kNextJob, { Step(1, 500) });
+    fixture.mGroup.Run(milliseconds(100));
+    fixture.mGroup.CutWorker(0, true);
+    fixture.mGroup.AddWorker("w1", 0.02);
+    CHECK(fixture.EndsAsDone(kNextJob, seconds(15)));
+    CHECK(fixture.mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
@@ -249,7 +249,7 @@
     group.AddWorker("w0", 0.02);
     group.Run(seconds(2));
     group.HoldOrders(OrdersTo<start_order>("w0"));
-    group.Submit(kAfter, { Step(1, 500) });
+    group.Submit(kNextJob, { Step(1, 500) });
     group.Run(milliseconds(100));
     group.Worker(0).mDraining = true;
     group.Worker(group.AddWorker("w1", 0.02)).mWorkTime = seconds(8);
@@ -258,7 +258,7 @@
     group.RestartWorker(0, seconds(4));
     group.Worker(0).mWorkTime = seconds(2);
     group.ReleaseOrders();
-    CHECK(group.RunUntil([&]() { return group.StateOf(kAfter) == "done"; },
+    CHECK(group.RunUntil([&]() { return group.StateOf(kNextJob) == "done"; },
                          seconds(15)));
     CHECK(group.Oracle().Violations() == std::vector<std::string>{});
   }
@@ -278,11 +278,11 @@
     group.HoldOrders([](const worker_order& aOrder) {
       return !std::holds_alternative<poll_order>(aOrder.mBody);
     });
-    group.Submit(kAfter, { Step(1, 500) });
+    group.Submit(kNextJob, { Step(1, 500) });
     group.Run(milliseconds(1'500));
     group.RestartWorker(0, milliseconds(500));
     group.ReleaseOrders();
-    CHECK(group.RunUntil([&]() { return group.StateOf(kAfter) == "done"; },
+    CHECK(group.RunUntil([&]() { return group.StateOf(kNextJob) == "done"; },
                          seconds(8)));
     CHECK(group.Oracle().Violations() == std::vector<std::string>{});
   }
--- a/testing/histories/main.cc
+++ b/testing/histories/main.cc
@@ -22,14 +22,14 @@
 
 namespace flow = oriolewalk::flow;
 
-struct hunt_options
+struct run_options
 {
   std::uint64_t mFrom = 1;
   std::uint64_t mTo = 1'000; // the last seed
   unsigned mThreads = std::max(1U, std::thread::hardware_concurrency() / 2);
   int mActions = 60;
   flow::flow_options mFlow;
-  flow::history_faults mTroubles;
+  flow::history_faults mFaults;
 };
 
 constexpr const char* kUsage =
@@ -52,10 +52,10 @@
   return read.ec == std::errc() && read.ptr == end;
 }
 
-std::optional<hunt_options>
+std::optional<run_options>
 ReadArguments(int aCount, char** aArguments)
 {
-  const std::array known = {
+  const std::array longOptions = {
     option{ "from", required_argument, nullptr, 'f' },
     option{ "to", required_argument, nullptr, 't' },
     option{ "threads", required_argument, nullptr, 'j' },
@@ -68,53 +68,53 @@
     option{ "shrinking", no_argument, nullptr, 's' },
     option{ nullptr, 0, nullptr, 0 },
   };
-  hunt_options options;
-  bool sound = true;
+  run_options options;
+  bool isValid = true;
   for (int chosen = 0;
-       (chosen = getopt_long(aCount, aArguments, "", known.data(), nullptr)) !=
-       -1;) {
+       (chosen = getopt_long(
+          aCount, aArguments, "", longOptions.data(), nullptr)) != -1;) {
     switch (chosen) {
       case 'f':
-        sound = sound && ReadNumber(optarg, options.mFrom);
+        isValid = isValid && ReadNumber(optarg, options.mFrom);
         break;
       case 't':
-        sound = sound && ReadNumber(optarg, options.mTo);
+        isValid = isValid && ReadNumber(optarg, options.mTo);
         break;
       case 'j':
-        sound = sound && ReadNumber(optarg, options.mThreads);
+        isValid = isValid && ReadNumber(optarg, options.mThreads);
         break;
       case 'a':
-        sound = sound && ReadNumber(optarg, options.mActions);
+        isValid = isValid && ReadNumber(optarg, options.mActions);
         break;
       case 'b':
-        options.mTroubles.mBusy = true;
+        options.mFaults.mBusy = true;
         break;
       case 'r':
-        options.mTroubles.mRestarts = true;
+        options.mFaults.mRestarts = true;
         break;
       case 'h':
-        options.mTroubles.mHolds = true;
+        options.mFaults.mHolds = true;
         break;
       case 'c':
         options.mFlow.mMaxWorkersWithoutRelays = 0;
         break;
       case 'x':
-        options.mTroubles.mCrashing = true;
+        options.mFaults.mCrashing = true;
         break;
       case 's':
-        options.mTroubles.mShrinking = true;
+        options.mFaults.mShrinking = true;
         break;
       default:
-        sound = false;
+        isValid = false;
     }
   }
-  const bool whole = sound && optind == aCount && options.mThreads > 0 &&
-                     options.mFrom <= options.mTo;
-  return whole ? std::optional(options) : std::nullopt;
+  const bool isComplete = isValid && optind == aCount && options.mThreads > 0 &&
+                          options.mFrom <= options.mTo;
+  return isComplete ? std::optional(options) : std::nullopt;
 }
 
 void
-Add(const flow::history_counts& aOne, flow::history_counts& aAll)
+AddCounts(const flow::history_counts& aOne, flow::history_counts& aAll)
 {
   aAll.mCrashingJobs += aOne.mCrashingJobs;
   aAll.mCrashingStarts += aOne.mCrashingStarts;
@@ -124,21 +124,21 @@
 
 // Returns how many violated a guarantee.
 std::uint64_t
-Hunt(const hunt_options& aOptions, flow::history_counts& aAccount)
+PlaySeeds(const run_options& aOptions, flow::history_counts& aCounts)
 {
   std::atomic<std::uint64_t> next = aOptions.mFrom;
-  std::atomic<std::uint64_t> broken = 0;
+  std::atomic<std::uint64_t> violations = 0;
   std::mutex printing;
   const auto play = [&]() {
     for (std::uint64_t seed = next++; seed <= aOptions.mTo; seed = next++) {
-      flow::history_counts account;
-      const auto what = flow::PlayFlowSeed(
-        seed, aOptions.mActions, aOptions.mFlow, aOptions.mTroubles, &account);
+      flow::history_counts counts;
+      const auto violation = flow::PlayFlowSeed(
+        seed, aOptions.mActions, aOptions.mFlow, aOptions.mFaults, &counts);
       const std::scoped_lock lock(printing);
-      Add(account, aAccount);
-      if (what) {
-        ++broken;
-        std::cout << "seed " << seed << ": " << *what << std::endl;
+      AddCounts(counts, aCounts);
+      if (violation) {
+        ++violations;
+        std::cout << "seed " << seed << ": " << *violation << std::endl;
       }
     }
   };
@@ -147,7 +147,7 @@
     threads.emplace_back(play);
   }
   threads.clear(); // joins
-  return broken;
+  return violations;
 }
 
 } // namespace
@@ -160,15 +160,15 @@
     std::cerr << kUsage;
     return 2;
   }
-  flow::history_counts account;
-  const std::uint64_t broken = Hunt(*options, account);
-  if (options->mTroubles.mCrashing) {
-    std::cout << account.mCrashingJobs << " jobs with tasks that crash, "
-              << account.mCrashingStarts << " starts of such tasks\n";
+  flow::history_counts counts;
+  const std::uint64_t violations = PlaySeeds(*options, counts);
+  if (options->mFaults.mCrashing) {
+    std::cout << counts.mCrashingJobs << " jobs with tasks that crash, "
+              << counts.mCrashingStarts << " starts of such tasks\n";
   }
-  std::cout << account.mFailedNormalJobs << " of " << account.mNormalJobs
-            << " sound jobs were given up\n";
+  std::cout << counts.mFailedNormalJobs << " of " << counts.mNormalJobs
+            << " jobs without crashing tasks failed\n";
   std::cout << options->mTo - options->mFrom + 1 << " histories played, "
-            << broken << " broke a promise\n";
-  return broken == 0 ? 0 : 1;
+            << violations << " violated a guarantee\n";
+  return violations == 0 ? 0 : 1;
 }
