--- a/oriolewalk/ledger/request_ledger.cc
+++ b/oriolewalk/ledger/request_ledger.cc
@@ -40,7 +40,7 @@
 request_ledger::Apply(const ledger_command& aCommand, std::int64_t aWallMs)
 {
   mLastWallMs = std::max(mLastWallMs, aWallMs);
-  Forget();
+  EvictExpired();
   return std::visit([this](const auto& aOne) { return ApplyOne(aOne); },
                     aCommand);
 }
@@ -81,7 +81,7 @@
   if (const auto found = mRecords.find(aClaim.mRef); found != mRecords.end()) {
     return ClaimKnown(found->second, aClaim);
   }
-  if (!MakeRoom()) {
+  if (!HasCapacity()) {
     return { verdict::Full, 0, std::nullopt };
   }
   request_record& record = mRecords[aClaim.mRef];
@@ -136,12 +136,12 @@
   if (record.mToken != aFinish.mToken) {
     return { verdict::Ignored, record.mAttempt, record };
   }
-  const bool open = record.mState == request_state::Running;
+  const bool isRunning = record.mState == request_state::Running;
   // The carrier was taken for lost and wakes up: it alone knows what became of
   // its attempt, and what it says replaces "unknown".
-  const bool turnedUp = record.mState == request_state::Unknown &&
-                        aFinish.mResult != attempt_result::Unknown;
-  if (!open && !turnedUp) {
+  const bool isLateReport = record.mState == request_state::Unknown &&
+                            aFinish.mResult != attempt_result::Unknown;
+  if (!isRunning && !isLateReport) {
     // The same report again, or one that adds nothing to what is known.
     return { verdict::Recorded, record.mAttempt, record };
   }
@@ -165,7 +165,7 @@
 {
   const auto found = mRecords.find(aRefusal.mRef);
   if (found == mRecords.end()) {
-    if (!MakeRoom()) {
+    if (!HasCapacity()) {
       return { verdict::Full, 0, std::nullopt };
     }
     const auto made = mRecords.emplace(aRefusal.mRef, request_record{}).first;
@@ -262,7 +262,7 @@
 }
 
 bool
-request_ledger::MayForget(const request_record& aRecord, bool aFull) const
+request_ledger::MayEvict(const request_record& aRecord, bool aFull) const
 {
   if (aRecord.mState == request_state::Running) {
     return false;
@@ -280,20 +280,20 @@
 // command never pays for a day's backlog. A record that may not go yet is
 // moved to the back: a repeatable one behind it need not wait for it.
 void
-request_ledger::Forget()
+request_ledger::EvictExpired()
 {
-  constexpr int kLookedAt = 4;
-  const std::int64_t youngest =
+  constexpr int kMaxChecked = 4;
+  const std::int64_t minWindowMs =
     std::min(mOptions.mMinimumWindowMs, mOptions.mRepeatableMinimumMs);
   const bool full = mRecords.size() >= mOptions.mMaxRecords;
-  for (int looked = 0; looked < kLookedAt && !mEnded.empty(); ++looked) {
+  for (int checked = 0; checked < kMaxChecked && !mEnded.empty(); ++checked) {
     const request_ref* ref = mEnded.front();
     const auto found = mRecords.find(*ref);
-    if (mLastWallMs - found->second.mEndedWallMs < youngest) {
+    if (mLastWallMs - found->second.mEndedWallMs < minWindowMs) {
       return;
     }
     mEnded.pop_front();
-    if (MayForget(found->second, full)) {
+    if (MayEvict(found->second, full)) {
       DropAnswer(found->second);
       mRecords.erase(found);
     } else {
@@ -303,7 +303,7 @@
 }
 
 bool
-request_ledger::MakeRoom()
+request_ledger::HasCapacity()
 {
   return mRecords.size() < mOptions.mMaxRecords;
 }
--- a/oriolewalk/ledger/request_ledger.h
+++ b/oriolewalk/ledger/request_ledger.h
@@ -134,9 +134,9 @@
   void Start(request_record& aRecord, const claim& aClaim);
   void End(record_map::iterator aWhere, request_state aState);
   void KeepAnswer(request_record& aRecord, const finish& aFinish);
-  void Forget();
-  bool MayForget(const request_record& aRecord, bool aFull) const;
-  bool MakeRoom();
+  void EvictExpired();
+  bool MayEvict(const request_record& aRecord, bool aFull) const;
+  bool HasCapacity();
   [[nodiscard]] std::vector<request_ref> EndedRefs() const;
   void RebuildIndexes(const std::vector<request_ref>& aEnded);
   [[nodiscard]] std::int64_t MinimumWindow(const request_record& aRecord) const;
