--- a/bench/traffic_baselines.cc
+++ b/bench/traffic_baselines.cc
@@ -54,20 +54,20 @@
 }
 
 void
-plain_targets::Up(const target_state& aTarget)
+plain_targets::Add(const target_state& aTarget)
 {
   mTargets.emplace_back(aTarget, 0);
 }
 
 void
-plain_targets::Leave(const target_id& aTarget)
+plain_targets::Remove(const target_id& aTarget)
 {
   std::erase_if(
     mTargets, [&](const auto& aEntry) { return aEntry.first.mId == aTarget; });
 }
 
 void
-plain_targets::Hold(const target_id& aTarget)
+plain_targets::AcquireSlot(const target_id& aTarget)
 {
   for (auto& [state, held] : mTargets) {
     held += state.mId == aTarget ? 1 : 0;
@@ -75,7 +75,7 @@
 }
 
 void
-plain_targets::Release(const target_id& aTarget)
+plain_targets::ReleaseSlot(const target_id& aTarget)
 {
   for (auto& [state, held] : mTargets) {
     held -= state.mId == aTarget ? 1 : 0;
@@ -83,7 +83,7 @@
 }
 
 std::optional<std::size_t>
-plain_targets::Least() const
+plain_targets::LeastBusy() const
 {
   const auto least = std::ranges::min_element(
     mTargets, {}, [](const auto& aEntry) { return aEntry.second; });
@@ -96,14 +96,14 @@
 void
 fifo_policy::TargetUp(const target_state& aTarget, time_point /*aNow*/)
 {
-  mTargets.Up(aTarget);
+  mTargets.Add(aTarget);
   Place();
 }
 
 void
 fifo_policy::TargetLeaving(const target_id& aTarget, time_point /*aNow*/)
 {
-  mTargets.Leave(aTarget);
+  mTargets.Remove(aTarget);
 }
 
 void
@@ -119,7 +119,7 @@
                       const finish& /*aFinish*/,
                       time_point /*aNow*/)
 {
-  mTargets.Release(aTarget);
+  mTargets.ReleaseSlot(aTarget);
   Place();
 }
 
@@ -133,12 +133,12 @@
 fifo_policy::Place()
 {
   while (!mQueue.empty()) {
-    const auto least = mTargets.Least();
+    const auto least = mTargets.LeastBusy();
     if (!least || !mTargets.HasSlot(*least)) {
       return;
     }
     const target_id target = mTargets.At(*least);
-    mTargets.Hold(target);
+    mTargets.AcquireSlot(target);
     mDecisions.emplace_back(dispatch{ mQueue.front(), target });
     mQueue.pop_front();
   }
@@ -147,22 +147,22 @@
 void
 direct_policy::TargetUp(const target_state& aTarget, time_point /*aNow*/)
 {
-  mTargets.Up(aTarget);
+  mTargets.Add(aTarget);
 }
 
 void
 direct_policy::TargetLeaving(const target_id& aTarget, time_point /*aNow*/)
 {
-  mTargets.Leave(aTarget);
+  mTargets.Remove(aTarget);
 }
 
 void
 direct_policy::Arrive(const arrival& aArrival, time_point /*aNow*/)
 {
   const std::size_t drawn = mRandom.Below(mTargets.Size());
-  const target_id target =
-    mTargets.At(mLeast ? mTargets.Least().value_or(drawn) : drawn);
-  mTargets.Hold(target);
+  const target_id target = mTargets.At(
+    mIsLeastOutstanding ? mTargets.LeastBusy().value_or(drawn) : drawn);
+  mTargets.AcquireSlot(target);
   mDecisions.emplace_back(dispatch{ aArrival.mId, target });
 }
 
@@ -172,7 +172,7 @@
                         const finish& /*aFinish*/,
                         time_point /*aNow*/)
 {
-  mTargets.Release(aTarget);
+  mTargets.ReleaseSlot(aTarget);
 }
 
 std::vector<decision>
--- a/bench/traffic_baselines.h
+++ b/bench/traffic_baselines.h
@@ -40,17 +40,17 @@
 class plain_targets
 {
 public:
-  void Up(const traffic::target_state& aTarget);
-  void Leave(const target_id& aTarget);
-  void Hold(const target_id& aTarget);
-  void Release(const target_id& aTarget);
+  void Add(const traffic::target_state& aTarget);
+  void Remove(const target_id& aTarget);
+  void AcquireSlot(const target_id& aTarget);
+  void ReleaseSlot(const target_id& aTarget);
   [[nodiscard]] std::size_t Size() const { return mTargets.size(); }
   [[nodiscard]] const target_id& At(std::size_t aIndex) const
   {
     return mTargets.at(aIndex).first.mId;
   }
   // The index of the least busy one, if there is any.
-  [[nodiscard]] std::optional<std::size_t> Least() const;
+  [[nodiscard]] std::optional<std::size_t> LeastBusy() const;
   [[nodiscard]] bool HasSlot(std::size_t aIndex) const
   {
     return mTargets.at(aIndex).second < mTargets.at(aIndex).first.mSlots;
@@ -84,8 +84,8 @@
 class direct_policy
 {
 public:
-  direct_policy(bool aLeast, std::uint64_t aSeed)
-    : mLeast(aLeast)
+  direct_policy(bool aLeastOutstanding, std::uint64_t aSeed)
+    : mIsLeastOutstanding(aLeastOutstanding)
     , mRandom(aSeed)
   {
   }
@@ -99,7 +99,7 @@
   std::vector<traffic::decision> TakeDecisions();
 
 private:
-  bool mLeast;
+  bool mIsLeastOutstanding;
   random_source mRandom;
   plain_targets mTargets;
   std::vector<traffic::decision> mDecisions;
--- a/bench/traffic_bench.cc
+++ b/bench/traffic_bench.cc
@@ -100,7 +100,7 @@
 Compares(const scenario& aScenario, policy_kind aKind)
 {
   // The others have no state that a leader change could lose.
-  return aScenario.mLeaderLost < 0 || aKind == policy_kind::Own;
+  return aScenario.mLeaderLostSeconds < 0 || aKind == policy_kind::Own;
 }
 
 void
@@ -128,16 +128,16 @@
 void
 RunPlacers(bench_report& aReport)
 {
-  constexpr double kLeast = 0.001;
-  constexpr double kMost = 0.003;
+  constexpr double kMinCommitSeconds = 0.001;
+  constexpr double kMaxCommitSeconds = 0.003;
   for (const double times : { 0.8, 1.5, 3.0 }) {
     for (const double skew : { 0.0, 0.4 }) {
       scenario with = Overload(times);
       with.mName += skew > 0 ? ".skewed" : ".even";
       with.mSkew = skew;
       scenario without = with;
-      with.mLeastCommit = kLeast;
-      with.mMostCommit = kMost;
+      with.mMinCommitSeconds = kMinCommitSeconds;
+      with.mMaxCommitSeconds = kMaxCommitSeconds;
       AddOutcome(aReport,
                  "placer." + with.mName + ".one_placer",
                  Run(with, policy_kind::Own));
@@ -206,8 +206,8 @@
       made.mTargets = targets;
       made.mSeconds = targets > 1000 ? 2 : 8;
       made.mWarmUp = 1;
-      made.mOptions.mTarget.mScan = each.mScan;
-      made.mOptions.mTarget.mSample = each.mSample;
+      made.mOptions.mTarget.mFullScanLimit = each.mScan;
+      made.mOptions.mTarget.mSampleSize = each.mSample;
       source load;
       load.mLabel = "all";
       load.mOrganisation = organisation_id("all");
--- a/bench/traffic_driver.cc
+++ b/bench/traffic_driver.cc
@@ -36,10 +36,10 @@
 namespace {
 
 const service_id kService("service");
-constexpr double kNearWay = 0.0002; // there and back
-constexpr double kFarWay = 0.002;
+constexpr double kNearRoundTripSeconds = 0.0002; // there and back
+constexpr double kFarRoundTripSeconds = 0.002;
 constexpr double kFailSeconds = 0.001;
-constexpr double kLeaderGap = 0.5;
+constexpr double kLeaderGapSeconds = 0.5;
 constexpr double kRenewSeconds = 0.5;
 
 struct request
@@ -52,11 +52,11 @@
   time_point mDeadline{};
   time_point mTriedAt{}; // when this try arrived
   std::size_t mTarget = 0;
-  bool mPlaced = false; // holds a slot of mTarget
+  bool mHoldsSlot = false; // holds a slot of mTarget
   std::uint32_t mTries = 0;
-  bool mWaitsForPolicy = false;
-  bool mCounts = false;
-  bool mRuns = false;
+  bool mIsUndecided = false;
+  bool mIsCounted = false;
+  bool mIsRunning = false;
   double mHeld = 0;
   time_point mBeganAt{};
 };
@@ -67,18 +67,18 @@
   std::uint32_t mRunning = 0;
   std::deque<std::size_t> mQueue; // of requests
   double mFactor = 1;
-  bool mFails = false;
-  bool mLeft = false;
+  bool mIsFailing = false;
+  bool mHasLeft = false;
 };
 
 enum class event_kind : std::uint8_t
 {
   Arrive,
-  Reach, // a dispatched request reaches its target
+  ReachTarget, // a dispatched request reaches its target
   End,
   Change,
   LeaderLost,
-  LeaderFound,
+  LeaderElected,
   Renew,
 };
 
@@ -119,19 +119,19 @@
   // Events.
   void Handle(const event& aEvent);
   void Arrive(std::size_t aRequest);
-  void Reach(std::size_t aRequest);
+  void OnReachedTarget(std::size_t aRequest);
   void Begin(std::size_t aRequest);
   void End(std::size_t aRequest);
   void CountSlotTime(std::size_t aRequest, bool aFailed);
   void Change(const target_event& aEvent);
   void LoseLeader();
-  void FindLeader();
+  void ElectLeader();
 
   // Between policy and world.
   template<class Call>
-  void Ask(Call aCall);
+  void CallPolicy(Call aCall);
   void Offer(std::size_t aRequest);
-  void Carry(const traffic::decision& aDecision);
+  void Apply(const traffic::decision& aDecision);
   void Dispatched(const traffic::dispatch& aDispatch);
   void Refused(const traffic::refuse& aRefuse);
   bool Resend(std::size_t aRequest, duration aRetryAfter);
@@ -148,18 +148,18 @@
   policy_kind mKind;
   random_source mRandom;
   any_policy mPolicy;
-  bool mLeader = true;
+  bool mHasLeader = true;
   time_point mStart{ seconds(1000) };
   time_point mNow = mStart;
   std::vector<fake_target> mTargets;
   std::vector<request> mRequests;
   // The policy's id of a try is its place in this.
   std::vector<std::size_t> mTries;
-  std::vector<std::uint64_t> mTryOf; // by request: its last try
+  std::vector<std::uint64_t> mLastTry; // by request: its last try
   std::priority_queue<event> mEvents;
   std::uint64_t mOrder = 0;
-  std::vector<std::size_t> mHeldBack; // arrivals while there is no leader
-  std::chrono::nanoseconds mSpent{};
+  std::vector<std::size_t> mDeferred; // arrivals while there is no leader
+  std::chrono::nanoseconds mPolicyTime{};
   outcome mOutcome;
 };
 
@@ -171,10 +171,11 @@
   for (std::size_t index = 0; index < mScenario.mEvents.size(); ++index) {
     Schedule(At(mScenario.mEvents[index].mAt), event_kind::Change, index);
   }
-  if (mScenario.mLeaderLost >= 0) {
-    Schedule(At(mScenario.mLeaderLost), event_kind::LeaderLost, 0);
-    Schedule(
-      At(mScenario.mLeaderLost + kLeaderGap), event_kind::LeaderFound, 0);
+  if (mScenario.mLeaderLostSeconds >= 0) {
+    Schedule(At(mScenario.mLeaderLostSeconds), event_kind::LeaderLost, 0);
+    Schedule(At(mScenario.mLeaderLostSeconds + kLeaderGapSeconds),
+             event_kind::LeaderElected,
+             0);
   }
   const time_point last = At(mScenario.mSeconds);
   while (!mEvents.empty() && mEvents.top().mAt <= last) {
@@ -189,7 +190,7 @@
   }
   mNow = last;
   for (std::size_t index = 0; index < mRequests.size(); ++index) {
-    if (mRequests[index].mRuns) {
+    if (mRequests[index].mIsRunning) {
       CountSlotTime(index, false);
     }
   }
@@ -198,10 +199,10 @@
                        static_cast<double>(mScenario.mTargets) *
                        mScenario.mSlots;
   mOutcome.mDecisionMicros =
-    std::chrono::duration<double, std::micro>(mSpent).count() /
+    std::chrono::duration<double, std::micro>(mPolicyTime).count() /
     static_cast<double>(std::max<std::uint64_t>(mOutcome.mArrivals, 1));
   for (std::size_t index = 0; index < mRequests.size(); ++index) {
-    if (mRequests[index].mWaitsForPolicy) {
+    if (mRequests[index].mIsUndecided) {
       Record(index, [](caller_outcome& aSeen) { ++aSeen.mPending; });
     }
   }
@@ -211,7 +212,7 @@
 void
 runner::MakeTargets()
 {
-  Ask([&](auto& aPolicy) {
+  CallPolicy([&](auto& aPolicy) {
     if constexpr (requires { aPolicy.SetPolicy(mScenario.mPolicy, mNow); }) {
       aPolicy.SetPolicy(mScenario.mPolicy, mNow);
     }
@@ -225,7 +226,7 @@
                     mScenario.mSlots,
                     60 };
     mTargets.push_back(made);
-    Ask([&](auto& aPolicy) { aPolicy.TargetUp(made.mState, mNow); });
+    CallPolicy([&](auto& aPolicy) { aPolicy.TargetUp(made.mState, mNow); });
   }
 }
 
@@ -235,7 +236,7 @@
   for (std::size_t index = 0; index < mScenario.mSources.size(); ++index) {
     MakeArrivalsOf(index);
   }
-  mTryOf.resize(mRequests.size());
+  mLastTry.resize(mRequests.size());
 }
 
 void
@@ -252,7 +253,7 @@
     made.mService = Exponential(from.mMeanSeconds);
     made.mArrivedAt = At(at);
     made.mDeadline = made.mArrivedAt + from.mDeadline;
-    made.mCounts = at >= mScenario.mWarmUp;
+    made.mIsCounted = at >= mScenario.mWarmUp;
     mRequests.push_back(made);
     Schedule(made.mArrivedAt, event_kind::Arrive, mRequests.size() - 1);
     Record(mRequests.size() - 1,
@@ -273,18 +274,18 @@
   switch (aEvent.mKind) {
     case event_kind::Arrive:
       return Arrive(aEvent.mIndex);
-    case event_kind::Reach:
-      return Reach(aEvent.mIndex);
+    case event_kind::ReachTarget:
+      return OnReachedTarget(aEvent.mIndex);
     case event_kind::End:
       return End(aEvent.mIndex);
     case event_kind::Change:
       return Change(mScenario.mEvents[aEvent.mIndex]);
     case event_kind::LeaderLost:
       return LoseLeader();
-    case event_kind::LeaderFound:
-      return FindLeader();
+    case event_kind::LeaderElected:
+      return ElectLeader();
     case event_kind::Renew:
-      return Ask([&](auto& aPolicy) {
+      return CallPolicy([&](auto& aPolicy) {
         aPolicy.TargetUp(mTargets[aEvent.mIndex].mState, mNow);
       });
   }
@@ -295,15 +296,15 @@
 {
   mRequests[aRequest].mTriedAt = mNow;
   ++mOutcome.mArrivals;
-  if (mLeader) {
+  if (mHasLeader) {
     Offer(aRequest);
   } else {
-    mHeldBack.push_back(aRequest);
+    mDeferred.push_back(aRequest);
   }
 }
 
 void
-runner::Reach(std::size_t aRequest)
+runner::OnReachedTarget(std::size_t aRequest)
 {
   fake_target& target = mTargets[mRequests[aRequest].mTarget];
   if (target.mRunning < target.mState.mSlots) {
@@ -324,10 +325,10 @@
   const bool far =
     std::to_string(starts.mOrigin) != target.mState.mDataCentre.Value();
   starts.mHeld =
-    target.mFails ? kFailSeconds : starts.mService * target.mFactor;
-  starts.mHeld += far ? kFarWay : kNearWay;
+    target.mIsFailing ? kFailSeconds : starts.mService * target.mFactor;
+  starts.mHeld += far ? kFarRoundTripSeconds : kNearRoundTripSeconds;
   starts.mBeganAt = mNow;
-  starts.mRuns = true;
+  starts.mIsRunning = true;
   Record(aRequest, [&](caller_outcome& aSeen) {
     aSeen.mWaits.push_back(ToSeconds(mNow - starts.mArrivedAt));
   });
@@ -340,8 +341,8 @@
   request& ends = mRequests[aRequest];
   fake_target& target = mTargets[ends.mTarget];
   --target.mRunning;
-  ends.mRuns = false;
-  const bool failed = target.mFails;
+  ends.mIsRunning = false;
+  const bool failed = target.mIsFailing;
   const bool late = mNow > ends.mDeadline;
   Record(aRequest, [&](caller_outcome& aSeen) {
     aSeen.mFailed += failed ? 1 : 0;
@@ -359,15 +360,15 @@
                                        : finish_result::Answered,
                                 FromSeconds(ends.mHeld) };
   const target_id held = target.mState.mId;
-  ends.mPlaced = false;
+  ends.mHoldsSlot = false;
   if (failed) {
     Resend(aRequest, milliseconds(20));
   }
-  if (!mLeader) {
+  if (!mHasLeader) {
     return; // the ledger learns of it; the next leader won't restore it
   }
-  Ask([&](auto& aPolicy) {
-    const request_id id(mTryOf[aRequest]);
+  CallPolicy([&](auto& aPolicy) {
+    const request_id id(mLastTry[aRequest]);
     if constexpr (std::is_same_v<std::decay_t<decltype(aPolicy)>, dispatcher>) {
       aPolicy.Finished(id, finish, mNow);
     } else {
@@ -402,15 +403,15 @@
       target.mFactor = aEvent.mFactor;
       break;
     case target_change::Fail:
-      target.mFails = true;
+      target.mIsFailing = true;
       break;
-    case target_change::Mend:
+    case target_change::Recover:
       target.mFactor = 1;
-      target.mFails = false;
+      target.mIsFailing = false;
       break;
     case target_change::Leave:
-      target.mLeft = true;
-      Ask(
+      target.mHasLeft = true;
+      CallPolicy(
         [&](auto& aPolicy) { aPolicy.TargetLeaving(target.mState.mId, mNow); });
       break;
   }
@@ -419,11 +420,11 @@
 void
 runner::LoseLeader()
 {
-  mLeader = false;
+  mHasLeader = false;
   for (std::size_t index = 0; index < mRequests.size(); ++index) {
-    if (mRequests[index].mWaitsForPolicy) {
-      mRequests[index].mWaitsForPolicy = false;
-      mHeldBack.push_back(index);
+    if (mRequests[index].mIsUndecided) {
+      mRequests[index].mIsUndecided = false;
+      mDeferred.push_back(index);
     }
   }
 }
@@ -431,21 +432,21 @@
 // A new leader knows running attempts from the ledger and targets by their
 // renewals, and gets the undecided requests again from the entries.
 void
-runner::FindLeader()
+runner::ElectLeader()
 {
-  mLeader = true;
+  mHasLeader = true;
   mPolicy =
     MakePolicy(mKind, mScenario.mOptions, mScenario.mSkew, mScenario.mSeed + 1);
-  Ask([&](auto& aPolicy) {
+  CallPolicy([&](auto& aPolicy) {
     if constexpr (requires { aPolicy.SetPolicy(mScenario.mPolicy, mNow); }) {
       aPolicy.SetPolicy(mScenario.mPolicy, mNow);
     }
     if constexpr (std::is_same_v<std::decay_t<decltype(aPolicy)>, dispatcher>) {
       for (std::size_t index = 0; index < mRequests.size(); ++index) {
         const request& each = mRequests[index];
-        if (each.mPlaced) {
+        if (each.mHoldsSlot) {
           const source& from = mScenario.mSources[each.mSource];
-          aPolicy.Restore({ request_id(mTryOf[index]),
+          aPolicy.Restore({ request_id(mLastTry[index]),
                             kService,
                             mTargets[each.mTarget].mState.mId,
                             from.mOrganisation,
@@ -460,7 +461,7 @@
              event_kind::Renew,
              index);
   }
-  for (const std::size_t held : std::exchange(mHeldBack, {})) {
+  for (const std::size_t held : std::exchange(mDeferred, {})) {
     Offer(held);
   }
 }
@@ -468,9 +469,9 @@
 // Calls the policy, then carries out what it decided. Only the call is timed.
 template<class Call>
 void
-runner::Ask(Call aCall)
+runner::CallPolicy(Call aCall)
 {
-  if (!mLeader) {
+  if (!mHasLeader) {
     return;
   }
   const auto before = std::chrono::steady_clock::now();
@@ -480,9 +481,9 @@
       return aPolicy.TakeDecisions();
     },
     mPolicy);
-  mSpent += std::chrono::steady_clock::now() - before;
+  mPolicyTime += std::chrono::steady_clock::now() - before;
   for (const traffic::decision& each : decided) {
-    Carry(each);
+    Apply(each);
   }
 }
 
@@ -491,11 +492,11 @@
 {
   request& offered = mRequests[aRequest];
   const source& from = mScenario.mSources[offered.mSource];
-  mTryOf[aRequest] = mTries.size();
+  mLastTry[aRequest] = mTries.size();
   mTries.push_back(aRequest);
-  offered.mWaitsForPolicy = true;
+  offered.mIsUndecided = true;
   const traffic::arrival arrival{
-    request_id(mTryOf[aRequest]),
+    request_id(mLastTry[aRequest]),
     kService,
     from.mOrganisation,
     offered.mCaller,
@@ -504,11 +505,11 @@
     data_centre_id(std::to_string(offered.mOrigin)),
     mKind == policy_kind::NoLimit ? mNow + seconds(86400) : offered.mDeadline
   };
-  Ask([&](auto& aPolicy) { aPolicy.Arrive(arrival, mNow); });
+  CallPolicy([&](auto& aPolicy) { aPolicy.Arrive(arrival, mNow); });
 }
 
 void
-runner::Carry(const traffic::decision& aDecision)
+runner::Apply(const traffic::decision& aDecision)
 {
   std::visit(
     overloaded{
@@ -522,17 +523,17 @@
 {
   const std::size_t index = mTries.at(aDispatch.mId.Value());
   request& placed = mRequests[index];
-  placed.mWaitsForPolicy = false;
+  placed.mIsUndecided = false;
   placed.mTarget = std::stoul(aDispatch.mTarget.Value());
-  placed.mPlaced = true;
-  mOutcome.mToLeaving += mTargets[placed.mTarget].mLeft ? 1 : 0;
-  const double commit =
-    mScenario.mLeastCommit +
-    (mRandom.Fraction() * (mScenario.mMostCommit - mScenario.mLeastCommit));
+  placed.mHoldsSlot = true;
+  mOutcome.mDispatchedToLeaving += mTargets[placed.mTarget].mHasLeft ? 1 : 0;
+  const double commit = mScenario.mMinCommitSeconds +
+                        (mRandom.Fraction() * (mScenario.mMaxCommitSeconds -
+                                               mScenario.mMinCommitSeconds));
   if (commit > 0) {
-    Schedule(mNow + FromSeconds(commit), event_kind::Reach, index);
+    Schedule(mNow + FromSeconds(commit), event_kind::ReachTarget, index);
   } else {
-    Reach(index);
+    OnReachedTarget(index);
   }
 }
 
@@ -541,7 +542,7 @@
 {
   const std::size_t index = mTries.at(aRefuse.mId.Value());
   request& refused = mRequests[index];
-  refused.mWaitsForPolicy = false;
+  refused.mIsUndecided = false;
   Record(index, [&](caller_outcome& aSeen) {
     aSeen.mRefusalWaits.push_back(ToSeconds(mNow - refused.mTriedAt));
   });
@@ -555,13 +556,13 @@
 bool
 runner::Resend(std::size_t aRequest, duration aRetryAfter)
 {
-  constexpr std::uint32_t kPolite = 5;
-  constexpr std::uint32_t kStormy = 10;
-  const bool storm = mScenario.mResend == resend_rule::AtOnce;
+  constexpr std::uint32_t kMaxResends = 5;
+  constexpr std::uint32_t kMaxStormResends = 10;
+  const bool storm = mScenario.mResend == resend_rule::Immediately;
   request& again = mRequests[aRequest];
   const time_point at = mNow + (storm ? milliseconds(20) : aRetryAfter);
   if (mScenario.mResend == resend_rule::Never || at >= again.mDeadline ||
-      again.mTries >= (storm ? kStormy : kPolite)) {
+      again.mTries >= (storm ? kMaxStormResends : kMaxResends)) {
     return false;
   }
   ++again.mTries;
@@ -574,7 +575,7 @@
 runner::Wake()
 {
   const time_point next = mEvents.top().mAt;
-  while (mLeader && mEvents.top().mAt >= next) {
+  while (mHasLeader && mEvents.top().mAt >= next) {
     std::optional<time_point> due;
     std::visit(
       [&](auto& aPolicy) {
@@ -587,7 +588,7 @@
       return;
     }
     mNow = std::max(mNow, *due);
-    Ask([&](auto& aPolicy) {
+    CallPolicy([&](auto& aPolicy) {
       if constexpr (requires { aPolicy.Tick(mNow); }) {
         aPolicy.Tick(mNow);
       }
@@ -600,7 +601,7 @@
 runner::Record(std::size_t aRequest, Count aCount)
 {
   const request& seen = mRequests[aRequest];
-  if (!seen.mCounts) {
+  if (!seen.mIsCounted) {
     return;
   }
   const source& from = mScenario.mSources[seen.mSource];
--- a/bench/traffic_driver.h
+++ b/bench/traffic_driver.h
@@ -45,9 +45,10 @@
   double mWindowSeconds = 0;
   std::uint64_t mOverbooked = 0; // attempts beyond a target's slots
   std::uint64_t mAttempts = 0;
-  std::uint64_t mArrivals = 0;  // resends included
-  std::uint64_t mToLeaving = 0; // dispatched to a target that had left
-  double mDecisionMicros = 0;   // policy's processor time per arrival
+  std::uint64_t mArrivals = 0; // resends included
+  std::uint64_t mDispatchedToLeaving =
+    0;                        // dispatched to a target that had left
+  double mDecisionMicros = 0; // policy's processor time per arrival
 };
 
 outcome
--- a/bench/traffic_scenario.cc
+++ b/bench/traffic_scenario.cc
@@ -142,7 +142,7 @@
   made.mSources = { Urgent(made, kUrgentPart), Normal(made, 0.5, "normal") };
   for (const std::size_t target : { 1U, 20U, 40U }) {
     made.mEvents.push_back({ 3, target, target_change::Fail, 1 });
-    made.mEvents.push_back({ 6, target, target_change::Mend, 1 });
+    made.mEvents.push_back({ 6, target, target_change::Recover, 1 });
   }
   return made;
 }
@@ -189,7 +189,7 @@
   for (auto& each : made.mSources) {
     each.mRepeatable = true;
   }
-  made.mResend = resend_rule::AtOnce;
+  made.mResend = resend_rule::Immediately;
   return made;
 }
 
@@ -212,7 +212,7 @@
 {
   scenario made = Overload(1.5);
   made.mName = "leader_change";
-  made.mLeaderLost = 4;
+  made.mLeaderLostSeconds = 4;
   return made;
 }
 
--- a/bench/traffic_scenario.h
+++ b/bench/traffic_scenario.h
@@ -33,17 +33,17 @@
 
 enum class target_change : std::uint8_t
 {
-  Slow,  // service times are multiplied by mFactor
-  Fail,  // every request fails in a millisecond
-  Mend,  // neither any more
-  Leave, // says so; ends when idle
+  Slow,    // service times are multiplied by mFactor
+  Fail,    // every request fails in a millisecond
+  Recover, // neither any more
+  Leave,   // says so; ends when idle
 };
 
 struct target_event
 {
   double mAt = 0;
   std::size_t mTarget = 0;
-  target_change mChange = target_change::Mend;
+  target_change mChange = target_change::Recover;
   double mFactor = 1;
 };
 
@@ -51,7 +51,7 @@
 {
   Never,
   AfterRefusal, // when the answer says so; five times at most
-  AtOnce,       // 20 ms after any failure or refusal; ten times at most
+  Immediately,  // 20 ms after any failure or refusal; ten times at most
 };
 
 struct scenario
@@ -67,10 +67,10 @@
   double mSeconds = 14;
   double mWarmUp = 2; // outcomes of earlier arrivals do not count
   resend_rule mResend = resend_rule::Never;
-  double mLeaderLost = -1; // seconds; < 0: never
+  double mLeaderLostSeconds = -1; // seconds; < 0: never
   // Between a decision and its effect: the commit of the claim, uniform.
-  double mLeastCommit = 0;
-  double mMostCommit = 0;
+  double mMinCommitSeconds = 0;
+  double mMaxCommitSeconds = 0;
   // Extra share of all arrivals that the first of seven entries gets.
   double mSkew = 0;
   std::uint64_t mSeed = 1;
--- a/fuzzing/traffic_fuzz.cc
+++ b/fuzzing/traffic_fuzz.cc
@@ -22,10 +22,10 @@
 namespace {
 
 void
-Require(bool aHolds, const char* aPromise)
+Require(bool aCondition, const char* aGuarantee)
 {
-  if (!aHolds) {
-    std::fprintf(stderr, "broken: %s\n", aPromise);
+  if (!aCondition) {
+    std::fprintf(stderr, "broken: %s\n", aGuarantee);
     std::abort();
   }
 }
@@ -33,8 +33,8 @@
 struct known_target
 {
   target_state mState;
-  bool mServes = false;
-  bool mLeaving = false;
+  bool mIsServing = false;
+  bool mIsLeaving = false;
   std::uint32_t mHeld = 0;
 };
 
@@ -87,11 +87,11 @@
   {
     switch (mData.ConsumeIntegralInRange(0, 10)) {
       case 0:
-        return Announce();
+        return AnnounceTarget();
       case 1:
-        return Leave();
+        return StartTargetLeave();
       case 2:
-        return Go();
+        return RemoveTarget();
       case 3:
       case 4:
       case 5:
@@ -105,11 +105,11 @@
       case 9:
         return mData.ConsumeBool() ? SetPolicy() : FinishOldest();
       default:
-        return Pass();
+        return AdvanceTime();
     }
   }
 
-  void Announce()
+  void AnnounceTarget()
   {
     const target_id id = PickTarget();
     const target_state state{
@@ -120,27 +120,27 @@
       mData.ConsumeIntegralInRange<std::uint32_t>(1, 20)
     };
     known_target& target = mTargets[id];
-    if (!target.mLeaving) {
+    if (!target.mIsLeaving) {
       target.mState = state;
-      target.mServes = true;
+      target.mIsServing = true;
     }
     mTraffic.TargetUp(state, mNow);
   }
 
-  void Leave()
+  void StartTargetLeave()
   {
     const target_id id = PickTarget();
     known_target& target = mTargets[id];
-    target.mLeaving = target.mLeaving || target.mServes;
-    target.mServes = false;
+    target.mIsLeaving = target.mIsLeaving || target.mIsServing;
+    target.mIsServing = false;
     mTraffic.TargetLeaving(id, mNow);
   }
 
-  void Go()
+  void RemoveTarget()
   {
     const target_id id = PickTarget();
-    mTargets[id].mServes = false;
-    mTargets[id].mLeaving = false;
+    mTargets[id].mIsServing = false;
+    mTargets[id].mIsLeaving = false;
     mTraffic.TargetGone(id, mNow);
   }
 
@@ -231,12 +231,12 @@
     mTraffic.SetPolicy(mPolicy, mNow);
   }
 
-  void Pass()
+  void AdvanceTime()
   {
     mNow += milliseconds(mData.ConsumeIntegralInRange(0, 2000));
     // A shell may be late with its tick: events come first then.
-    mTicked = mData.ConsumeBool();
-    if (mTicked) {
+    mHasTicked = mData.ConsumeBool();
+    if (mHasTicked) {
       mTraffic.Tick(mNow);
     }
   }
@@ -256,10 +256,10 @@
                              } },
                  each);
     }
-    if (!mTicked) {
+    if (!mHasTicked) {
       return;
     }
-    mTicked = false;
+    mHasTicked = false;
     for (const auto& [id, waits] : mWaiting) {
       Require(mNow < waits.mDeadline, "nothing waits past its deadline");
     }
@@ -273,7 +273,8 @@
     mWaiting.erase(found);
     Require(mNow < request.mDeadline, "nothing expired is dispatched");
     known_target& target = mTargets.at(aDispatch.mTarget);
-    Require(target.mServes, "nothing new to a target that leaves or is gone");
+    Require(target.mIsServing,
+            "nothing new to a target that leaves or is gone");
     ++target.mHeld;
     Require(target.mHeld <=
               std::min(target.mState.mSlots, target.mState.mConnections),
@@ -326,7 +327,7 @@
     }
     mNow += seconds(100);
     mTraffic.Tick(mNow);
-    mTicked = true;
+    mHasTicked = true;
     CheckDecisions();
     const dispatch_counters& counters = mTraffic.Counters();
     const std::uint64_t refused = std::accumulate(
@@ -342,7 +343,7 @@
   share_policy mPolicy;
   time_point mNow{ seconds(1000) };
   std::uint64_t mNext = 0;
-  bool mTicked = false;
+  bool mHasTicked = false;
   std::map<request_id, arrival> mWaiting;
   std::map<request_id, running_request> mRunning;
   std::map<target_id, known_target> mTargets;
--- a/oriolewalk/traffic/class_order.cc
+++ b/oriolewalk/traffic/class_order.cc
@@ -14,7 +14,7 @@
 namespace {
 
 // How long urgent work is expected again after the last one.
-constexpr duration kUrgentMemory = seconds(60);
+constexpr duration kUrgentWindow = seconds(60);
 // A class that ran alone for long owes at most this much.
 constexpr double kMaxDebtSeconds = 60;
 
@@ -49,8 +49,9 @@
 class_order::Order(const class_loads& aLoads, std::uint32_t aSlots) const
 {
   auto order = kClasses;
-  std::ranges::stable_partition(
-    order, [&](work_class aClass) { return Owed(aClass, aLoads, aSlots); });
+  std::ranges::stable_partition(order, [&](work_class aClass) {
+    return IsBelowFloor(aClass, aLoads, aSlots);
+  });
   return order;
 }
 
@@ -61,20 +62,21 @@
                       time_point aNow) const
 {
   const bool urgentExpected =
-    mUrgentSeen && aNow - *mUrgentSeen < kUrgentMemory;
+    mLastUrgentArrival && aNow - *mLastUrgentArrival < kUrgentWindow;
   if (aClass == work_class::Urgent || !urgentExpected || aSlots < 2 ||
-      FreeSlotsPerSecond(aLoads) * ToSeconds(mOptions.mUrgentStart) >= 1) {
+      FreeSlotsPerSecond(aLoads) * ToSeconds(mOptions.mMaxUrgentStartDelay) >=
+        1) {
     return true;
   }
-  const double kept =
+  const double reserved =
     std::max(1.0, std::floor(aSlots * mOptions.mUrgentReserve));
   const std::uint32_t others = aLoads.at(IndexOf(work_class::Normal)).mHeld +
                                aLoads.at(IndexOf(work_class::Heavy)).mHeld;
-  return others + kept < aSlots;
+  return others + reserved < aSlots;
 }
 
 bool
-class_order::LongMayStart(work_class aClass,
+class_order::MayStartLong(work_class aClass,
                           std::uint32_t aLongHeld,
                           const class_loads& aLoads,
                           std::uint32_t aSlots) const
@@ -90,16 +92,16 @@
 }
 
 bool
-class_order::UnprovenMayStart(std::uint32_t aHeld, std::uint32_t aSlots) const
+class_order::MayStartUnmeasured(std::uint32_t aHeld, std::uint32_t aSlots) const
 {
-  return aSlots < mOptions.mUnprovenFrom ||
-         aHeld < aSlots * mOptions.mUnprovenCap;
+  return aSlots < mOptions.mUnmeasuredCapMinSlots ||
+         aHeld < aSlots * mOptions.mUnmeasuredCap;
 }
 
 double
-class_order::Drain(work_class aClass,
-                   const class_loads& aLoads,
-                   std::uint32_t aSlots) const
+class_order::GuaranteedSlots(work_class aClass,
+                             const class_loads& aLoads,
+                             std::uint32_t aSlots) const
 {
   double floor = FloorSlots(aClass, aSlots);
   if (aClass == work_class::Urgent) {
@@ -110,13 +112,13 @@
 }
 
 bool
-class_order::Owed(work_class aClass,
-                  const class_loads& aLoads,
-                  std::uint32_t aSlots) const
+class_order::IsBelowFloor(work_class aClass,
+                          const class_loads& aLoads,
+                          std::uint32_t aSlots) const
 {
   const class_load& load = aLoads.at(IndexOf(aClass));
   const double floor = FloorSlots(aClass, aSlots);
-  if (!load.mWaits || floor <= 0) {
+  if (!load.mIsWaiting || floor <= 0) {
     return false;
   }
   if (floor >= 1) {
--- a/oriolewalk/traffic/class_order.h
+++ b/oriolewalk/traffic/class_order.h
@@ -31,7 +31,7 @@
 
 struct class_load
 {
-  bool mWaits = false;
+  bool mIsWaiting = false;
   std::uint32_t mHeld = 0;
   double mMeanSeconds = 0; // 0: not known
 };
@@ -46,7 +46,7 @@
   {
   }
 
-  void SawUrgent(time_point aNow) { mUrgentSeen = aNow; }
+  void OnUrgentArrival(time_point aNow) { mLastUrgentArrival = aNow; }
   // Books the time since the last call to the floors. Call before each change
   // of what is held, and before Order.
   void Advance(const class_loads& aLoads,
@@ -63,20 +63,20 @@
                               std::uint32_t aSlots,
                               time_point aNow) const;
   // aLongHeld: slots held by long work, of the heavy class or not.
-  [[nodiscard]] bool LongMayStart(work_class aClass,
+  [[nodiscard]] bool MayStartLong(work_class aClass,
                                   std::uint32_t aLongHeld,
                                   const class_loads& aLoads,
                                   std::uint32_t aSlots) const;
-  [[nodiscard]] bool UnprovenMayStart(std::uint32_t aHeld,
-                                      std::uint32_t aSlots) const;
+  [[nodiscard]] bool MayStartUnmeasured(std::uint32_t aHeld,
+                                        std::uint32_t aSlots) const;
   // Slots that the class can count on for the work it has queued.
-  [[nodiscard]] double Drain(work_class aClass,
-                             const class_loads& aLoads,
-                             std::uint32_t aSlots) const;
+  [[nodiscard]] double GuaranteedSlots(work_class aClass,
+                                       const class_loads& aLoads,
+                                       std::uint32_t aSlots) const;
   // When a floor that is earned over time lets a waiting class go first.
-  [[nodiscard]] bool Owed(work_class aClass,
-                          const class_loads& aLoads,
-                          std::uint32_t aSlots) const;
+  [[nodiscard]] bool IsBelowFloor(work_class aClass,
+                                  const class_loads& aLoads,
+                                  std::uint32_t aSlots) const;
 
 private:
   [[nodiscard]] double FloorSlots(work_class aClass,
@@ -86,7 +86,7 @@
   // Slot seconds below the floor; never above 0, so that nothing is saved up.
   std::array<double, kClassCount> mCredit{};
   time_point mAt{};
-  std::optional<time_point> mUrgentSeen;
+  std::optional<time_point> mLastUrgentArrival;
 };
 
 } // namespace oriolewalk::traffic
--- a/oriolewalk/traffic/class_queue.cc
+++ b/oriolewalk/traffic/class_queue.cc
@@ -21,11 +21,11 @@
 
 // Before the first answer: what a quick request takes. Only fairness rests on
 // it; nothing is refused for it.
-constexpr double kFirstGuess = 0.02;
+constexpr double kInitialEstimateSeconds = 0.02;
 // A drain below this is taken as this: the estimate stays finite.
-constexpr double kLeastDrain = 0.01;
+constexpr double kMinDrainSlots = 0.01;
 // Idle flows up to this number keep their measured service time.
-constexpr std::size_t kFlowsKept = 1024;
+constexpr std::size_t kMaxIdleFlows = 1024;
 
 void
 ApplyRule(flow& aFlow, const share_rule& aRule, time_point aNow)
@@ -37,10 +37,10 @@
 } // namespace
 
 flow*
-class_queue::FlowOf(const organisation_id& aOrganisation,
-                    const share_rule& aRule,
-                    std::size_t aMaxFlows,
-                    time_point aNow)
+class_queue::FindOrAddFlow(const organisation_id& aOrganisation,
+                           const share_rule& aRule,
+                           std::size_t aMaxFlows,
+                           time_point aNow)
 {
   const auto found = mFlows.find(aOrganisation);
   if (found != mFlows.end()) {
@@ -69,7 +69,7 @@
   }
   for (flow* each : WaitingFlows()) {
     mOrder.SetWeight(*each, each->mRule.mWeight);
-    Settle(*each);
+    UpdateActivation(*each);
   }
 }
 
@@ -86,7 +86,7 @@
     caller.mWaiting.insert(caller.mWaiting.end(), std::move(aRequest));
   ++aFlow.mWaiting;
   ++mWaiting;
-  Settle(aFlow);
+  UpdateActivation(aFlow);
   return { &aFlow, &caller, place };
 }
 
@@ -102,7 +102,7 @@
     owner.mOrder.Deactivate(caller);
     owner.mCallers.erase(owner.mCallers.find(caller.mKey));
   }
-  Settle(owner);
+  UpdateActivation(owner);
 }
 
 double
@@ -126,7 +126,7 @@
 {
   ++aFlow.mHeld;
   ++mHeld;
-  Settle(aFlow);
+  UpdateActivation(aFlow);
 }
 
 void
@@ -149,7 +149,7 @@
   }
   --aFlow.mHeld;
   --mHeld;
-  Settle(aFlow);
+  UpdateActivation(aFlow);
 }
 
 double
@@ -195,7 +195,7 @@
   if (aFlow.mRule.mMaxSlots) {
     drain = std::min<double>(drain, *aFlow.mRule.mMaxSlots);
   }
-  return ahead * Estimate(aFlow) / std::max(drain, kLeastDrain);
+  return ahead * Estimate(aFlow) / std::max(drain, kMinDrainSlots);
 }
 
 std::size_t
@@ -208,10 +208,10 @@
 double
 class_queue::Estimate(const flow& aFlow) const
 {
-  if (aFlow.mTime.Known()) {
+  if (aFlow.mTime.IsKnown()) {
     return aFlow.mTime.Seconds();
   }
-  return mTime.Known() ? mTime.Seconds() : kFirstGuess;
+  return mTime.IsKnown() ? mTime.Seconds() : kInitialEstimateSeconds;
 }
 
 std::vector<flow*>
@@ -230,16 +230,16 @@
 void
 class_queue::DropIdle(time_point aNow)
 {
-  if (mFlows.size() <= kFlowsKept) {
+  if (mFlows.size() <= kMaxIdleFlows) {
     return;
   }
   // With nobody waiting nothing is owed to anybody.
-  const bool quiet = mOrder.Nodes().empty();
+  const bool noneWaiting = mOrder.Nodes().empty();
   std::erase_if(mFlows, [&](const auto& aEntry) {
     const flow& each = *aEntry.second;
     return each.mWaiting == 0 && each.mHeld == 0 &&
-           (quiet || each.mTag.mVirtual <= mOrder.Now()) &&
-           each.mBucket.Full(aNow);
+           (noneWaiting || each.mTag.mVirtual <= mOrder.VirtualTime()) &&
+           each.mBucket.IsFull(aNow);
   });
 }
 
@@ -254,7 +254,7 @@
 // A flow at its slot limit leaves the order: choosing the next flow then never
 // steps over flows that may not run.
 void
-class_queue::Settle(flow& aFlow)
+class_queue::UpdateActivation(flow& aFlow)
 {
   const auto limit = aFlow.mRule.mMaxSlots;
   if (aFlow.mWaiting > 0 && (!limit || aFlow.mHeld < *limit)) {
--- a/oriolewalk/traffic/class_queue.h
+++ b/oriolewalk/traffic/class_queue.h
@@ -32,7 +32,7 @@
 
 namespace oriolewalk::traffic {
 
-enum class latest_reason : std::uint8_t
+enum class latest_start_bound : std::uint8_t
 {
   Deadline, // the answer would come too late
   MaxWait,  // the class allows no longer wait
@@ -43,7 +43,7 @@
   arrival mArrival;
   time_point mArrivedAt{};
   time_point mLatestStart{};
-  latest_reason mLatestReason = latest_reason::Deadline;
+  latest_start_bound mLatestStartBound = latest_start_bound::Deadline;
 };
 
 struct caller_queue
@@ -79,10 +79,10 @@
 {
 public:
   // nullptr if there are aMaxFlows already.
-  flow* FlowOf(const organisation_id& aOrganisation,
-               const share_rule& aRule,
-               std::size_t aMaxFlows,
-               time_point aNow);
+  flow* FindOrAddFlow(const organisation_id& aOrganisation,
+                      const share_rule& aRule,
+                      std::size_t aMaxFlows,
+                      time_point aNow);
   // Gives each flow its rule of the new policy.
   void SetPolicy(const share_policy& aPolicy,
                  work_class aClass,
@@ -138,7 +138,7 @@
 
 private:
   static queue_position Front(flow& aFlow);
-  void Settle(flow& aFlow);
+  void UpdateActivation(flow& aFlow);
   [[nodiscard]] double WaitBehind(const flow& aFlow,
                                   double aInCaller,
                                   double aInFlow,
--- a/oriolewalk/traffic/dispatcher.cc
+++ b/oriolewalk/traffic/dispatcher.cc
@@ -47,7 +47,7 @@
   mPolicy = aPolicy;
   for (const auto& [service, pool] : mPools) {
     pool->SetPolicy(mPolicy, aNow);
-    Collect(*pool);
+    CollectDecisions(*pool);
   }
 }
 
@@ -60,8 +60,8 @@
   }
   service_pool& pool = MakePool(aTarget.mService);
   mTargets[aTarget.mId] = &pool;
-  pool.TargetUp(aTarget, aNow);
-  Collect(pool);
+  pool.OnTargetUp(aTarget, aNow);
+  CollectDecisions(pool);
 }
 
 void
@@ -69,8 +69,8 @@
 {
   const auto known = mTargets.find(aTarget);
   if (known != mTargets.end()) {
-    known->second->TargetLeaving(aTarget, aNow);
-    Collect(*known->second);
+    known->second->OnTargetLeaving(aTarget, aNow);
+    CollectDecisions(*known->second);
   }
 }
 
@@ -83,8 +83,8 @@
   }
   service_pool& pool = *known->second;
   mTargets.erase(known);
-  pool.TargetGone(aTarget, aNow);
-  Collect(pool);
+  pool.OnTargetGone(aTarget, aNow);
+  CollectDecisions(pool);
 }
 
 bool
@@ -94,17 +94,17 @@
     return false;
   }
   ++mCounters.mArrived;
-  service_pool* pool = PoolFor(aArrival, aNow);
+  service_pool* pool = FindOrMakePool(aArrival, aNow);
   if (pool == nullptr) {
-    RefuseUnplaced(aArrival, refusal::NoTarget);
+    RefuseUnknownService(aArrival, refusal::NoTarget);
     return true;
   }
   mRequests.emplace(aArrival.mId, pool);
-  pool->Arrive(aArrival,
-               mPolicy.Of(aArrival.mOrganisation, aArrival.mClass),
-               WarmingUp(aNow),
-               aNow);
-  Collect(*pool);
+  pool->OnArrival(aArrival,
+                  mPolicy.Of(aArrival.mOrganisation, aArrival.mClass),
+                  IsWarmingUp(aNow),
+                  aNow);
+  CollectDecisions(*pool);
   return true;
 }
 
@@ -126,7 +126,7 @@
   if (mRequests.contains(aAttempt.mId)) {
     return;
   }
-  WarmingUp(aNow);
+  IsWarmingUp(aNow);
   service_pool& pool = MakePool(aAttempt.mService);
   mRequests.emplace(aAttempt.mId, &pool);
   pool.Restore(
@@ -137,23 +137,23 @@
 dispatcher::Finished(request_id aId, const finish& aFinish, time_point aNow)
 {
   const auto known = mRequests.find(aId);
-  if (known == mRequests.end() || !known->second->Runs(aId)) {
+  if (known == mRequests.end() || !known->second->IsRunning(aId)) {
     return;
   }
   service_pool& pool = *known->second;
   mRequests.erase(known);
   ++mCounters.mFinished;
-  mCounters.mEjections += pool.Finished(aId, aFinish, aNow) ? 1 : 0;
-  Collect(pool);
+  mCounters.mEjections += pool.OnFinished(aId, aFinish, aNow) ? 1 : 0;
+  CollectDecisions(pool);
 }
 
 void
 dispatcher::Tick(time_point aNow)
 {
-  const bool awaitTargets = WarmingUp(aNow);
+  const bool isAwaitingTargets = IsWarmingUp(aNow);
   for (const auto& [service, pool] : mPools) {
-    pool->Tick(awaitTargets, aNow);
-    Collect(*pool);
+    pool->Tick(isAwaitingTargets, aNow);
+    CollectDecisions(*pool);
   }
   DropIdlePools();
 }
@@ -190,13 +190,13 @@
 }
 
 service_pool*
-dispatcher::PoolFor(const arrival& aArrival, time_point aNow)
+dispatcher::FindOrMakePool(const arrival& aArrival, time_point aNow)
 {
   const auto known = mPools.find(aArrival.mService);
   if (known != mPools.end()) {
     return known->second.get();
   }
-  if (!WarmingUp(aNow) || mPools.size() >= kMaxUnknownServices) {
+  if (!IsWarmingUp(aNow) || mPools.size() >= kMaxUnknownServices) {
     return nullptr;
   }
   return &MakePool(aArrival.mService);
@@ -213,16 +213,16 @@
 }
 
 bool
-dispatcher::WarmingUp(time_point aNow)
+dispatcher::IsWarmingUp(time_point aNow)
 {
-  if (!mStart) {
-    mStart = aNow;
+  if (!mWarmUpStart) {
+    mWarmUpStart = aNow;
   }
-  return aNow - *mStart < mOptions.mWarmUp;
+  return aNow - *mWarmUpStart < mOptions.mWarmUp;
 }
 
 void
-dispatcher::Collect(service_pool& aPool)
+dispatcher::CollectDecisions(service_pool& aPool)
 {
   if (!aPool.HasDecisions()) {
     return;
@@ -240,7 +240,7 @@
 }
 
 void
-dispatcher::RefuseUnplaced(const arrival& aArrival, refusal aReason)
+dispatcher::RefuseUnknownService(const arrival& aArrival, refusal aReason)
 {
   ++mCounters.mRefused.at(static_cast<std::size_t>(aReason));
   mDecisions.emplace_back(refuse{ aArrival.mId, aReason, kUnknownRetryAfter });
@@ -250,7 +250,7 @@
 dispatcher::DropIdlePools()
 {
   std::erase_if(mPools,
-                [](const auto& aEntry) { return aEntry.second->Idle(); });
+                [](const auto& aEntry) { return aEntry.second->IsIdle(); });
 }
 
 } // namespace oriolewalk::traffic
--- a/oriolewalk/traffic/dispatcher.h
+++ b/oriolewalk/traffic/dispatcher.h
@@ -82,17 +82,17 @@
   [[nodiscard]] const dispatch_counters& Counters() const { return mCounters; }
 
 private:
-  service_pool* PoolFor(const arrival& aArrival, time_point aNow);
+  service_pool* FindOrMakePool(const arrival& aArrival, time_point aNow);
   service_pool& MakePool(const service_id& aService);
-  bool WarmingUp(time_point aNow);
-  void Collect(service_pool& aPool);
-  void RefuseUnplaced(const arrival& aArrival, refusal aReason);
+  bool IsWarmingUp(time_point aNow);
+  void CollectDecisions(service_pool& aPool);
+  void RefuseUnknownService(const arrival& aArrival, refusal aReason);
   void DropIdlePools();
 
   dispatch_options mOptions;
   std::unique_ptr<random_source> mRandom; // stays where it is when moved
   share_policy mPolicy;
-  std::optional<time_point> mStart; // of the warm-up: the first event
+  std::optional<time_point> mWarmUpStart; // of the warm-up: the first event
   std::map<service_id, std::unique_ptr<service_pool>> mPools;
   std::unordered_map<target_id, service_pool*> mTargets;
   std::unordered_map<request_id, service_pool*> mRequests;
--- a/oriolewalk/traffic/entry_limiter.cc
+++ b/oriolewalk/traffic/entry_limiter.cc
@@ -17,7 +17,7 @@
 namespace {
 
 // Fewer sent requests than this say nothing of a caller.
-constexpr double kLeastSent = 10;
+constexpr double kMinSent = 10;
 
 } // namespace
 
@@ -43,12 +43,12 @@
 entry_verdict
 entry_limiter::Admit(const entry_request& aRequest, time_point aNow)
 {
-  caller_record* record = RecordOf(aRequest, aNow);
-  if (record != nullptr && Throttled(*record)) {
+  caller_record* record = FindOrAddRecord(aRequest, aNow);
+  if (record != nullptr && ShouldThrottle(*record)) {
     record->mSent += 1;
     return Refuse(refusal::Overloaded);
   }
-  if (OverLimit(aRequest)) {
+  if (IsOverLimit(aRequest)) {
     // For control's sake, not for the caller's: not held against it.
     return Refuse(refusal::Overloaded);
   }
@@ -90,7 +90,7 @@
                      time_point aNow)
 {
   caller_record* record =
-    aResult == call_result::Lost ? nullptr : RecordOf(aRequest, aNow);
+    aResult == call_result::Lost ? nullptr : FindOrAddRecord(aRequest, aNow);
   if (record != nullptr) {
     record->mSent += 1;
     record->mAccepted += aResult == call_result::Accepted ? 1 : 0;
@@ -99,7 +99,7 @@
 
 // nullptr if there are too many callers to remember one more.
 entry_limiter::caller_record*
-entry_limiter::RecordOf(const entry_request& aRequest, time_point aNow)
+entry_limiter::FindOrAddRecord(const entry_request& aRequest, time_point aNow)
 {
   std::string key = aRequest.mOrganisation.Value();
   key += '\0';
@@ -107,11 +107,11 @@
   key += aRequest.mCallerKey;
   const auto found = mCallers.find(key);
   if (found != mCallers.end()) {
-    Age(found->second, aNow);
+    Decay(found->second, aNow);
     return &found->second;
   }
   if (mCallers.size() >= kMaxCallers) {
-    Sweep(aNow);
+    EvictIdleCallers(aNow);
   }
   if (mCallers.size() >= kMaxCallers) {
     return nullptr;
@@ -123,52 +123,54 @@
 
 // Linear in the callers, so not more often than half of their counts fade.
 void
-entry_limiter::Sweep(time_point aNow)
+entry_limiter::EvictIdleCallers(time_point aNow)
 {
-  if (aNow - mLastSweep < mOptions.mMemory) {
+  if (aNow - mLastEviction < mOptions.mHalfLife) {
     return;
   }
-  mLastSweep = aNow;
+  mLastEviction = aNow;
   for (auto& [key, record] : mCallers) {
-    Age(record, aNow);
+    Decay(record, aNow);
   }
   std::erase_if(mCallers,
                 [](const auto& aEntry) { return aEntry.second.mSent < 1; });
 }
 
 void
-entry_limiter::Age(caller_record& aRecord, time_point aNow) const
+entry_limiter::Decay(caller_record& aRecord, time_point aNow) const
 {
   const double since = std::max(0.0, ToSeconds(aNow - aRecord.mAt));
-  const double kept = std::exp2(-since / ToSeconds(mOptions.mMemory));
-  aRecord.mSent *= kept;
-  aRecord.mAccepted *= kept;
+  const double remaining = std::exp2(-since / ToSeconds(mOptions.mHalfLife));
+  aRecord.mSent *= remaining;
+  aRecord.mAccepted *= remaining;
   aRecord.mAt = std::max(aRecord.mAt, aNow);
 }
 
 bool
-entry_limiter::Throttled(const caller_record& aRecord)
+entry_limiter::ShouldThrottle(const caller_record& aRecord)
 {
-  if (aRecord.mSent < kLeastSent) {
+  if (aRecord.mSent < kMinSent) {
     return false;
   }
   const double excess =
     aRecord.mSent - (mOptions.mSentPerAccepted * aRecord.mAccepted);
   // Never all of it: what is sent on is how the entry learns of better times.
-  constexpr double kMost = 0.95;
-  return mRandom.Fraction() < std::min(kMost, excess / (aRecord.mSent + 1));
+  constexpr double kMaxRefusedShare = 0.95;
+  return mRandom.Fraction() <
+         std::min(kMaxRefusedShare, excess / (aRecord.mSent + 1));
 }
 
 bool
-entry_limiter::OverLimit(const entry_request& aRequest) const
+entry_limiter::IsOverLimit(const entry_request& aRequest) const
 {
-  const double part = mLimit * mOptions.mPart.at(IndexOf(aRequest.mClass));
+  const double part =
+    mLimit * mOptions.mClassShare.at(IndexOf(aRequest.mClass));
   const auto used = static_cast<double>(mInProgress);
   const auto& calls = mCalls.at(IndexOf(aRequest.mClass));
   if (used + 1 > part) {
     return aRequest.mClass == work_class::Urgent || !calls.empty();
   }
-  if (used < mLimit * mOptions.mShareFrom) {
+  if (used < mLimit * mOptions.mFairShareThreshold) {
     return false;
   }
   const auto own = calls.find(aRequest.mOrganisation);
@@ -189,13 +191,13 @@
   if (!slow) {
     // Only a limit that is being used can be known to be too low.
     if (static_cast<double>(mInProgress) * 2 >= mLimit) {
-      mLimit = std::min(mLimit + (1 / mLimit), mOptions.mMostLimit);
+      mLimit = std::min(mLimit + (1 / mLimit), mOptions.mMaxLimit);
     }
     return;
   }
   // Calls that were under way together tell of one and the same moment.
   if (aNow - mLastDecrease >= std::max(aCall.mLatency, mOptions.mSlowCall)) {
-    mLimit = std::max(mLimit * mOptions.mDecrease, mOptions.mLeastLimit);
+    mLimit = std::max(mLimit * mOptions.mDecrease, mOptions.mMinLimit);
     mLastDecrease = aNow;
   }
 }
--- a/oriolewalk/traffic/entry_limiter.h
+++ b/oriolewalk/traffic/entry_limiter.h
@@ -45,19 +45,19 @@
 struct entry_options
 {
   double mFirstLimit = 64;
-  double mLeastLimit = 4;
-  double mMostLimit = 2048;
+  double mMinLimit = 4;
+  double mMaxLimit = 2048;
   // Latency of control (without the time a request waits in its queues) over
   // which a call counts as slow.
   duration mSlowCall = milliseconds(50);
   double mDecrease = 0.9;
   // Part of the limit that a class may fill.
-  std::array<double, kClassCount> mPart = { 1.0, 0.85, 0.7 };
+  std::array<double, kClassCount> mClassShare = { 1.0, 0.85, 0.7 };
   // From this part of the limit on, organisations are held to their shares.
-  double mShareFrom = 0.5;
+  double mFairShareThreshold = 0.5;
   // Sent to accepted, above which the entry refuses by itself.
   double mSentPerAccepted = 2;
-  duration mMemory = seconds(2); // half of the counts are forgotten
+  duration mHalfLife = seconds(2); // half of the counts are forgotten
   duration mRetryAfter = milliseconds(500);
 };
 
@@ -111,14 +111,15 @@
     time_point mAt{};
   };
 
-  caller_record* RecordOf(const entry_request& aRequest, time_point aNow);
+  caller_record* FindOrAddRecord(const entry_request& aRequest,
+                                 time_point aNow);
   void Count(const entry_request& aRequest,
              call_result aResult,
              time_point aNow);
-  void Sweep(time_point aNow);
-  void Age(caller_record& aRecord, time_point aNow) const;
-  bool Throttled(const caller_record& aRecord);
-  [[nodiscard]] bool OverLimit(const entry_request& aRequest) const;
+  void EvictIdleCallers(time_point aNow);
+  void Decay(caller_record& aRecord, time_point aNow) const;
+  bool ShouldThrottle(const caller_record& aRecord);
+  [[nodiscard]] bool IsOverLimit(const entry_request& aRequest) const;
   void Adapt(const control_call& aCall, time_point aNow);
   entry_verdict Refuse(refusal aReason);
 
@@ -127,7 +128,7 @@
   share_policy mPolicy;
   double mLimit;
   time_point mLastDecrease{};
-  time_point mLastSweep{};
+  time_point mLastEviction{};
   std::size_t mInProgress = 0;
   double mActiveWeight = 0; // of organisations with calls in progress
   std::array<std::unordered_map<organisation_id, std::size_t>, kClassCount>
--- a/oriolewalk/traffic/fair_order.h
+++ b/oriolewalk/traffic/fair_order.h
@@ -38,7 +38,7 @@
     if (tag.mActive) {
       return;
     }
-    tag.mVirtual = std::max(tag.mVirtual, mNow);
+    tag.mVirtual = std::max(tag.mVirtual, mVirtualTime);
     Insert(aNode);
   }
 
@@ -55,7 +55,10 @@
   }
 
   // Moves the present on to the node that is about to be served.
-  void Serve(const Node& aNode) { mNow = std::max(mNow, aNode.mTag.mVirtual); }
+  void Serve(const Node& aNode)
+  {
+    mVirtualTime = std::max(mVirtualTime, aNode.mTag.mVirtual);
+  }
 
   // aCost may be negative: the correction of an estimate that was too high.
   void Charge(Node& aNode, double aCost)
@@ -89,7 +92,7 @@
 
   [[nodiscard]] const auto& Nodes() const { return mNodes; }
   [[nodiscard]] double Weight() const { return mWeight; }
-  [[nodiscard]] double Now() const { return mNow; }
+  [[nodiscard]] double VirtualTime() const { return mVirtualTime; }
 
 private:
   void Insert(Node& aNode)
@@ -102,7 +105,7 @@
   }
 
   std::map<std::pair<double, std::uint64_t>, Node*> mNodes;
-  double mNow = 0;
+  double mVirtualTime = 0;
   double mWeight = 0;
   std::uint64_t mTurns = 0;
 };
--- a/oriolewalk/traffic/options.h
+++ b/oriolewalk/traffic/options.h
@@ -34,15 +34,15 @@
   // Share of the slots that long work may hold.
   double mLongCap = 0.5;
   // Measured mean from which work counts as long, whatever its class says.
-  duration mLongAfter = seconds(1);
+  duration mLongThreshold = seconds(1);
   // Share of the slots that an organisation's work may hold in a class before
   // its first answer tells how long it takes; in pools of at least
   // mUnprovenFrom slots, since half of a few would hold back a single
   // organisation that has the pool for itself.
-  double mUnprovenCap = 0.5;
-  std::uint32_t mUnprovenFrom = 16;
+  double mUnmeasuredCap = 0.5;
+  std::uint32_t mUnmeasuredCapMinSlots = 16;
   // Slots kept for urgent work where slots come free more seldom than this.
-  duration mUrgentStart = milliseconds(10);
+  duration mMaxUrgentStartDelay = milliseconds(10);
   double mUrgentReserve = 0.1;
 };
 
@@ -55,16 +55,16 @@
   duration mEjectFor = seconds(1); // doubles with each ejection in a row
   duration mMaxEjectFor = seconds(30);
   // A probe that only repeatable work may take waits this long for such.
-  duration mProbePatience = milliseconds(500);
+  duration mRepeatableProbeWait = milliseconds(500);
   // A target this many times slower than its peers gets fewer slots.
   double mSlowFactor = 2.0;
   // Share of choices that go to an idle slow target, to see if it is better.
-  double mExplore = 1.0 / 256;
+  double mExploreShare = 1.0 / 256;
   // Added to the score of a target in another data centre.
   duration mCrossDataCentre = milliseconds(2);
   // Up to so many free targets are all compared, else so many drawn ones.
-  std::size_t mScan = 64;
-  std::size_t mSample = 8;
+  std::size_t mFullScanLimit = 64;
+  std::size_t mSampleSize = 8;
 };
 
 struct dispatch_options
--- a/oriolewalk/traffic/policy.cc
+++ b/oriolewalk/traffic/policy.cc
@@ -13,8 +13,8 @@
 share_rule
 Checked(share_rule aRule)
 {
-  constexpr double kLeastWeight = 1e-6;
-  aRule.mWeight = std::max(aRule.mWeight, kLeastWeight);
+  constexpr double kMinWeight = 1e-6;
+  aRule.mWeight = std::max(aRule.mWeight, kMinWeight);
   return aRule;
 }
 
--- a/oriolewalk/traffic/retry_budget.cc
+++ b/oriolewalk/traffic/retry_budget.cc
@@ -9,14 +9,14 @@
 namespace oriolewalk::traffic {
 
 bool
-MayRunAgain(const ended_attempt& aAttempt)
+MayRetry(const ended_attempt& aAttempt)
 {
   switch (aAttempt.mResult) {
     case finish_result::NeverStarted:
       return true;
     case finish_result::TimedOut:
     case finish_result::Unknown:
-      return aAttempt.mRepeatable && aAttempt.mSurelyEnded;
+      return aAttempt.mRepeatable && aAttempt.mHasEnded;
     case finish_result::Answered:
     case finish_result::FailedFast:
       return false;
@@ -32,13 +32,13 @@
 void
 retry_budget::Succeeded()
 {
-  mTokens = std::min(mTokens + mOptions.mShareOfSuccesses, mOptions.mMost);
+  mTokens = std::min(mTokens + mOptions.mShareOfSuccesses, mOptions.mMaxTokens);
 }
 
 bool
 retry_budget::Spend(time_point aNow)
 {
-  mTokens = Left(aNow);
+  mTokens = Available(aNow);
   mAt = std::max(mAt, aNow);
   if (mTokens < 1) {
     return false;
@@ -50,10 +50,10 @@
 // The steady trickle fills the budget to one retry only: what is saved up
 // comes from successes.
 double
-retry_budget::Left(time_point aNow) const
+retry_budget::Available(time_point aNow) const
 {
   const double trickle =
-    std::max(0.0, ToSeconds(aNow - mAt)) * mOptions.mLeastPerSecond;
+    std::max(0.0, ToSeconds(aNow - mAt)) * mOptions.mMinPerSecond;
   return std::max(mTokens, std::min(1.0, mTokens + trickle));
 }
 
--- a/oriolewalk/traffic/retry_budget.h
+++ b/oriolewalk/traffic/retry_budget.h
@@ -21,20 +21,20 @@
   bool mRepeatable = false;
   // It surely runs nowhere any more: answered, refused before start, or its
   // target said so or is surely gone.
-  bool mSurelyEnded = false;
+  bool mHasEnded = false;
 };
 
 // Only what surely did not start, or may be repeated and surely ended: a
 // payment must not be made twice, also not by two attempts that overlap.
 // An answer, also one of failure, is the caller's to judge.
 [[nodiscard]] bool
-MayRunAgain(const ended_attempt& aAttempt);
+MayRetry(const ended_attempt& aAttempt);
 
 struct retry_options
 {
   double mShareOfSuccesses = 0.1;
-  double mMost = 100;           // retries saved up
-  double mLeastPerSecond = 0.5; // so that a quiet service can retry at all
+  double mMaxTokens = 100;    // retries saved up
+  double mMinPerSecond = 0.5; // so that a quiet service can retry at all
 };
 
 // One service. One owner, one thread; O(1).
@@ -45,7 +45,7 @@
   void Succeeded();
   // True if a retry may be made; it is then counted.
   [[nodiscard]] bool Spend(time_point aNow);
-  [[nodiscard]] double Left(time_point aNow) const;
+  [[nodiscard]] double Available(time_point aNow) const;
 
 private:
   retry_options mOptions;
--- a/oriolewalk/traffic/service_pool.cc
+++ b/oriolewalk/traffic/service_pool.cc
@@ -36,33 +36,33 @@
   for (const work_class each : kClasses) {
     Queue(each).SetPolicy(aPolicy, each, aNow);
   }
-  RefuseBarred();
+  RefuseExcluded();
   Place(aNow);
 }
 
 void
-service_pool::TargetUp(const target_state& aTarget, time_point aNow)
+service_pool::OnTargetUp(const target_state& aTarget, time_point aNow)
 {
   Advance(aNow);
-  mTargets.Up(aTarget);
+  mTargets.OnTargetUp(aTarget);
   Place(aNow);
 }
 
 void
-service_pool::TargetLeaving(const target_id& aTarget, time_point aNow)
+service_pool::OnTargetLeaving(const target_id& aTarget, time_point aNow)
 {
   Advance(aNow);
-  mTargets.Leaving(aTarget);
+  mTargets.OnTargetLeaving(aTarget);
   if (!mTargets.HasTargets()) {
     RefuseAll(refusal::NoTarget, aNow);
   }
 }
 
 void
-service_pool::TargetGone(const target_id& aTarget, time_point aNow)
+service_pool::OnTargetGone(const target_id& aTarget, time_point aNow)
 {
   Advance(aNow);
-  mTargets.Gone(aTarget);
+  mTargets.OnTargetGone(aTarget);
   if (!mTargets.HasTargets()) {
     RefuseAll(refusal::NoTarget, aNow);
   }
@@ -87,12 +87,12 @@
   Advance(aNow);
   // Limits on how much is remembered do not count here: the attempt runs.
   class_queue& queue = Queue(aAttempt.mClass);
-  flow* owner =
-    queue.FlowOf(aAttempt.mOrganisation, aRule, queue.Flows().size() + 1, aNow);
+  flow* owner = queue.FindOrAddFlow(
+    aAttempt.mOrganisation, aRule, queue.Flows().size() + 1, aNow);
   queue.StartRestored(*owner);
   const bool isLong = IsLong(aAttempt.mClass, *owner);
   mLongHeld += isLong ? 1 : 0;
-  mTargets.Hold(aAttempt.mTarget);
+  mTargets.AcquireSlot(aAttempt.mTarget);
   mAttempts.emplace(
     aAttempt.mId,
     attempt{
@@ -100,7 +100,7 @@
 }
 
 bool
-service_pool::Finished(request_id aId, const finish& aFinish, time_point aNow)
+service_pool::OnFinished(request_id aId, const finish& aFinish, time_point aNow)
 {
   const auto found = mAttempts.find(aId);
   if (found == mAttempts.end()) {
@@ -109,7 +109,7 @@
   Advance(aNow);
   const attempt ended = std::move(found->second);
   mAttempts.erase(found);
-  mLongHeld -= ended.mLong ? 1 : 0;
+  mLongHeld -= ended.mIsLong ? 1 : 0;
   // A quick failure says nothing of how long the work takes; a time-out says
   // at least how long it did not end.
   const bool measured = aFinish.mResult == finish_result::Answered ||
@@ -121,21 +121,21 @@
             measured ? aFinish.mLatency : aNow - ended.mStarted,
             measured);
   const bool ejected =
-    mTargets.Release(ended.mTarget, aFinish, ended.mExpected, aNow);
+    mTargets.ReleaseSlot(ended.mTarget, aFinish, ended.mExpected, aNow);
   Place(aNow);
   return ejected;
 }
 
 void
-service_pool::Tick(bool aAwaitTargets, time_point aNow)
+service_pool::Tick(bool aIsAwaitingTargets, time_point aNow)
 {
   mTargets.Advance(aNow);
   Expire(aNow);
   if (aNow >= mNextReview) {
     mNextReview = aNow + mOptions.mQueue.mReviewEvery;
-    if (!mTargets.HasTargets() && !aAwaitTargets) {
+    if (!mTargets.HasTargets() && !aIsAwaitingTargets) {
       RefuseAll(refusal::NoTarget, aNow);
-    } else if (!aAwaitTargets) {
+    } else if (!aIsAwaitingTargets) {
       Review(aNow);
     }
     std::ranges::for_each(mQueues,
@@ -148,15 +148,15 @@
 service_pool::NextWake() const
 {
   std::optional<time_point> next = mTargets.NextWake(mNow);
-  if (!mLatest.empty()) {
-    const time_point due = std::min(mLatest.begin()->first, mNextReview);
+  if (!mByLatestStart.empty()) {
+    const time_point due = std::min(mByLatestStart.begin()->first, mNextReview);
     next = next ? std::min(*next, due) : due;
   }
   return next;
 }
 
 bool
-service_pool::Idle() const
+service_pool::IsIdle() const
 {
   return mWaiting.empty() && mAttempts.empty() && mTargets.Empty();
 }
@@ -211,11 +211,12 @@
   if (!mOrder.MayStart(aClass, Loads(), slots, aNow)) {
     return false;
   }
-  const bool longMayStart =
-    mOrder.LongMayStart(aClass, mLongHeld, Loads(), slots);
+  const bool mayStartLong =
+    mOrder.MayStartLong(aClass, mLongHeld, Loads(), slots);
   const queue_position next = Queue(aClass).Next([&](const flow& aFlow) {
-    return (longMayStart || !IsLong(aClass, aFlow)) &&
-           (aFlow.mTime.Known() || mOrder.UnprovenMayStart(aFlow.mHeld, slots));
+    return (mayStartLong || !IsLong(aClass, aFlow)) &&
+           (aFlow.mTime.IsKnown() ||
+            mOrder.MayStartUnmeasured(aFlow.mHeld, slots));
   });
   if (next.mFlow == nullptr) {
     return false;
@@ -225,11 +226,11 @@
     Expire(aNow);
     return true;
   }
-  const target_wish wish{ aClass,
-                          request.mArrival.mRepeatable,
-                          request.mArrival.mOrigin,
-                          Queue(aClass).Estimate(*next.mFlow) };
-  const auto chosen = mTargets.Choose(wish, *mRandom, aNow);
+  const target_criteria criteria{ aClass,
+                                  request.mArrival.mRepeatable,
+                                  request.mArrival.mOrigin,
+                                  Queue(aClass).Estimate(*next.mFlow) };
+  const auto chosen = mTargets.Choose(criteria, *mRandom, aNow);
   if (chosen) {
     Start(next, *chosen, aNow);
   }
@@ -247,10 +248,10 @@
   flow* owner = aPosition.mFlow;
   const bool isLong = IsLong(kind, *owner);
   mWaiting.erase(id);
-  mLatest.erase({ request.mLatestStart, id });
+  mByLatestStart.erase({ request.mLatestStart, id });
   const double charged = Queue(kind).Start(aPosition);
   mLongHeld += isLong ? 1 : 0;
-  mTargets.Hold(aTarget);
+  mTargets.AcquireSlot(aTarget);
   mAttempts.emplace(id,
                     attempt{ aTarget,
                              owner,
@@ -267,7 +268,7 @@
 service_pool::IsLong(work_class aClass, const flow& aFlow) const
 {
   return aClass == work_class::Heavy ||
-         aFlow.mTime.Seconds() >= ToSeconds(mOptions.mClass.mLongAfter);
+         aFlow.mTime.Seconds() >= ToSeconds(mOptions.mClass.mLongThreshold);
 }
 
 void
@@ -283,7 +284,7 @@
   const auto found = mWaiting.find(aId);
   const queue_position position = found->second;
   const waiting_request& request = *position.mRequest;
-  mLatest.erase({ request.mLatestStart, aId });
+  mByLatestStart.erase({ request.mLatestStart, aId });
   const work_class kind = request.mArrival.mClass;
   mWaiting.erase(found);
   Queue(kind).Remove(position);
--- a/oriolewalk/traffic/service_pool.h
+++ b/oriolewalk/traffic/service_pool.h
@@ -53,24 +53,24 @@
                random_source& aRandom);
 
   void SetPolicy(const share_policy& aPolicy, time_point aNow);
-  void TargetUp(const target_state& aTarget, time_point aNow);
-  void TargetLeaving(const target_id& aTarget, time_point aNow);
-  void TargetGone(const target_id& aTarget, time_point aNow);
+  void OnTargetUp(const target_state& aTarget, time_point aNow);
+  void OnTargetLeaving(const target_id& aTarget, time_point aNow);
+  void OnTargetGone(const target_id& aTarget, time_point aNow);
 
   // aAwaitTargets: some targets have not announced themselves yet, but will
   // soon; what they will drain cannot be estimated.
-  void Arrive(const arrival& aArrival,
-              const share_rule& aRule,
-              bool aAwaitTargets,
-              time_point aNow);
+  void OnArrival(const arrival& aArrival,
+                 const share_rule& aRule,
+                 bool aIsAwaitingTargets,
+                 time_point aNow);
   bool Cancel(request_id aId, time_point aNow);
   void Restore(const running_attempt& aAttempt,
                const share_rule& aRule,
                time_point aNow);
   // True if its target was ejected by it.
-  bool Finished(request_id aId, const finish& aFinish, time_point aNow);
+  bool OnFinished(request_id aId, const finish& aFinish, time_point aNow);
   // aAwaitTargets: as for Arrive.
-  void Tick(bool aAwaitTargets, time_point aNow);
+  void Tick(bool aIsAwaitingTargets, time_point aNow);
   [[nodiscard]] std::optional<time_point> NextWake() const;
 
   std::vector<decision> TakeDecisions()
@@ -81,8 +81,8 @@
   [[nodiscard]] const service_id& Service() const { return mService; }
   [[nodiscard]] bool HasTargets() const { return mTargets.HasTargets(); }
   // Nothing waits, runs or is known of targets.
-  [[nodiscard]] bool Idle() const;
-  [[nodiscard]] bool Runs(request_id aId) const
+  [[nodiscard]] bool IsIdle() const;
+  [[nodiscard]] bool IsRunning(request_id aId) const
   {
     return mAttempts.contains(aId);
   }
@@ -97,7 +97,7 @@
     std::string mCallerKey;
     double mCharged = 0;
     double mExpected = 0; // seconds by measured mean; 0: not known
-    bool mLong = false;
+    bool mIsLong = false;
     time_point mStarted{};
   };
 
@@ -110,7 +110,7 @@
   // Admission (service_pool_admission.cc).
   [[nodiscard]] admission Admit(const arrival& aArrival,
                                 const flow& aFlow,
-                                bool aAwaitTargets,
+                                bool aIsAwaitingTargets,
                                 time_point aNow);
   [[nodiscard]] std::optional<refusal> AdmitByCount(const arrival& aArrival,
                                                     const flow& aFlow) const;
@@ -118,10 +118,10 @@
   [[nodiscard]] admission AdmitByTime(const arrival& aArrival,
                                       const flow& aFlow,
                                       time_point aNow) const;
-  [[nodiscard]] waiting_request Stamp(const arrival& aArrival,
-                                      const flow& aFlow,
-                                      bool aAwaitTargets,
-                                      time_point aNow) const;
+  [[nodiscard]] waiting_request MakeWaitingRequest(const arrival& aArrival,
+                                                   const flow& aFlow,
+                                                   bool aIsAwaitingTargets,
+                                                   time_point aNow) const;
   void Expire(time_point aNow);
   void Review(time_point aNow);
   void ReviewCaller(class_queue& aQueue,
@@ -129,10 +129,10 @@
                     caller_queue& aCaller,
                     double aDrain,
                     time_point aNow);
-  void RefuseBarred();
+  void RefuseExcluded();
   void RefuseAll(refusal aReason, time_point aNow);
   void Refuse(request_id aId, refusal aReason, duration aRetryAfter);
-  [[nodiscard]] duration Jittered(duration aRetryAfter) const;
+  [[nodiscard]] duration WithJitter(duration aRetryAfter) const;
 
   // Placement (service_pool.cc).
   void Place(time_point aNow);
@@ -154,7 +154,7 @@
   target_pool mTargets;
   std::unordered_map<request_id, queue_position> mWaiting;
   // By latest start.
-  std::set<std::pair<time_point, request_id>> mLatest;
+  std::set<std::pair<time_point, request_id>> mByLatestStart;
   std::unordered_map<request_id, attempt> mAttempts;
   std::uint32_t mLongHeld = 0;
   time_point mNextReview{};
--- a/oriolewalk/traffic/service_pool_admission.cc
+++ b/oriolewalk/traffic/service_pool_admission.cc
@@ -19,8 +19,8 @@
 
 // Bounds of "come back after": under the first one, polling would cost more
 // than the answer; over the second one, a recovered system would idle.
-constexpr duration kLeastRetryAfter = milliseconds(50);
-constexpr duration kMostRetryAfter = seconds(5);
+constexpr duration kMinRetryAfter = milliseconds(50);
+constexpr duration kMaxRetryAfter = seconds(5);
 // Until targets have announced themselves.
 constexpr duration kTargetRetryAfter = milliseconds(500);
 // Queued work is given up once its wait would exceed what is left by this
@@ -40,52 +40,53 @@
 } // namespace
 
 void
-service_pool::Arrive(const arrival& aArrival,
-                     const share_rule& aRule,
-                     bool aAwaitTargets,
-                     time_point aNow)
+service_pool::OnArrival(const arrival& aArrival,
+                        const share_rule& aRule,
+                        bool aIsAwaitingTargets,
+                        time_point aNow)
 {
   Advance(aNow);
   if (aArrival.mClass == work_class::Urgent) {
-    mOrder.SawUrgent(aNow);
+    mOrder.OnUrgentArrival(aNow);
   }
   if (aNow >= aArrival.mDeadline) {
-    Refuse(aArrival.mId, refusal::Expired, kLeastRetryAfter);
+    Refuse(aArrival.mId, refusal::Expired, kMinRetryAfter);
     return;
   }
-  if (!mTargets.HasTargets() && !aAwaitTargets) {
+  if (!mTargets.HasTargets() && !aIsAwaitingTargets) {
     Refuse(aArrival.mId, refusal::NoTarget, kTargetRetryAfter);
     return;
   }
   class_queue& queue = Queue(aArrival.mClass);
-  flow* owner = queue.FlowOf(
+  flow* owner = queue.FindOrAddFlow(
     aArrival.mOrganisation, aRule, mOptions.mQueue.mMaxFlows, aNow);
   if (owner == nullptr) {
-    Refuse(aArrival.mId, refusal::Overloaded, kMostRetryAfter);
+    Refuse(aArrival.mId, refusal::Overloaded, kMaxRetryAfter);
     return;
   }
-  const admission verdict = Admit(aArrival, *owner, aAwaitTargets, aNow);
+  const admission verdict = Admit(aArrival, *owner, aIsAwaitingTargets, aNow);
   if (verdict.mRefused) {
     Refuse(aArrival.mId, *verdict.mRefused, verdict.mRetryAfter);
     return;
   }
   owner->mBucket.Take(aNow);
-  const waiting_request request = Stamp(aArrival, *owner, aAwaitTargets, aNow);
-  mLatest.emplace(request.mLatestStart, aArrival.mId);
+  const waiting_request request =
+    MakeWaitingRequest(aArrival, *owner, aIsAwaitingTargets, aNow);
+  mByLatestStart.emplace(request.mLatestStart, aArrival.mId);
   mWaiting.emplace(aArrival.mId, queue.Push(*owner, request));
   Place(aNow);
   // Let in on the hope of a free slot, which suited something else.
   if (owner->mWaiting > WaitingBound(*owner) &&
       mWaiting.contains(aArrival.mId)) {
     Unqueue(aArrival.mId);
-    Refuse(aArrival.mId, refusal::LimitReached, kLeastRetryAfter);
+    Refuse(aArrival.mId, refusal::LimitReached, kMinRetryAfter);
   }
 }
 
 service_pool::admission
 service_pool::Admit(const arrival& aArrival,
                     const flow& aFlow,
-                    bool aAwaitTargets,
+                    bool aIsAwaitingTargets,
                     time_point aNow)
 {
   if (aFlow.mRule.mMaxSlots == 0U) {
@@ -102,7 +103,7 @@
   }
   // With a slot free and nobody before it a request is tried, whatever the
   // estimate says: else one wrong measurement would shut a flow out for good.
-  if (aAwaitTargets ||
+  if (aIsAwaitingTargets ||
       (mTargets.HasFree() && Queue(aArrival.mClass).Waiting() == 0)) {
     return {};
   }
@@ -142,7 +143,8 @@
                           time_point aNow) const
 {
   const class_queue& queue = mQueues.at(IndexOf(aArrival.mClass));
-  const double drain = mOrder.Drain(aArrival.mClass, Loads(), mTargets.Slots());
+  const double drain =
+    mOrder.GuaranteedSlots(aArrival.mClass, Loads(), mTargets.Slots());
   const double wait = queue.ExpectedWait(aFlow, aArrival.mCallerKey, drain);
   const double longest =
     ToSeconds(mOptions.mQueue.mMaxWait.at(IndexOf(aArrival.mClass)));
@@ -158,37 +160,37 @@
 }
 
 waiting_request
-service_pool::Stamp(const arrival& aArrival,
-                    const flow& aFlow,
-                    bool aAwaitTargets,
-                    time_point aNow) const
+service_pool::MakeWaitingRequest(const arrival& aArrival,
+                                 const flow& aFlow,
+                                 bool aIsAwaitingTargets,
+                                 time_point aNow) const
 {
   // Entries held what came while there was no leader: refusing it for the wait
   // until the targets are known again would make a wave of refusals.
   const duration ordinary =
     mOptions.mQueue.mMaxWait.at(IndexOf(aArrival.mClass));
   const duration longest =
-    aAwaitTargets ? std::max(ordinary, mOptions.mWarmUp) : ordinary;
+    aIsAwaitingTargets ? std::max(ordinary, mOptions.mWarmUp) : ordinary;
   // At least a moment, so that it is offered to a free slot once.
   const time_point byDeadline =
     std::max(aArrival.mDeadline - FromSeconds(aFlow.mTime.Seconds()),
              std::min(aNow + duration(1), aArrival.mDeadline));
   if (byDeadline <= aNow + longest) {
-    return { aArrival, aNow, byDeadline, latest_reason::Deadline };
+    return { aArrival, aNow, byDeadline, latest_start_bound::Deadline };
   }
-  return { aArrival, aNow, aNow + longest, latest_reason::MaxWait };
+  return { aArrival, aNow, aNow + longest, latest_start_bound::MaxWait };
 }
 
 void
 service_pool::Expire(time_point aNow)
 {
-  while (!mLatest.empty() && mLatest.begin()->first <= aNow) {
-    const request_id id = mLatest.begin()->second;
+  while (!mByLatestStart.empty() && mByLatestStart.begin()->first <= aNow) {
+    const request_id id = mByLatestStart.begin()->second;
     const waiting_request& request = *mWaiting.at(id).mRequest;
     refusal reason = refusal::Overloaded;
     if (aNow >= request.mArrival.mDeadline) {
       reason = refusal::Expired;
-    } else if (request.mLatestReason == latest_reason::Deadline) {
+    } else if (request.mLatestStartBound == latest_start_bound::Deadline) {
       reason = refusal::CannotMeetDeadline;
     }
     const duration retryAfter =
@@ -203,7 +205,8 @@
 {
   for (const work_class each : kClasses) {
     class_queue& queue = Queue(each);
-    const double drain = mOrder.Drain(each, Loads(), mTargets.Slots());
+    const double drain =
+      mOrder.GuaranteedSlots(each, Loads(), mTargets.Slots());
     std::vector<std::pair<flow*, caller_queue*>> callers;
     for (flow* owner : queue.WaitingFlows()) {
       for (const auto& [turn, caller] : owner->mOrder.Nodes()) {
@@ -234,9 +237,10 @@
     if (wait <= left * kReviewSlack) {
       return;
     }
-    const refusal reason = last.mLatestReason == latest_reason::Deadline
-                             ? refusal::CannotMeetDeadline
-                             : refusal::Overloaded;
+    const refusal reason =
+      last.mLatestStartBound == latest_start_bound::Deadline
+        ? refusal::CannotMeetDeadline
+        : refusal::Overloaded;
     const request_id id = last.mArrival.mId;
     Unqueue(id);
     Refuse(id, reason, FromSeconds(wait - left));
@@ -247,8 +251,8 @@
 service_pool::RefuseAll(refusal aReason, time_point aNow)
 {
   Expire(aNow);
-  while (!mLatest.empty()) {
-    const request_id id = mLatest.begin()->second;
+  while (!mByLatestStart.empty()) {
+    const request_id id = mByLatestStart.begin()->second;
     Unqueue(id);
     Refuse(id, aReason, kTargetRetryAfter);
   }
@@ -256,15 +260,15 @@
 
 // What a new policy bars for good is not left to wait for its latest start.
 void
-service_pool::RefuseBarred()
+service_pool::RefuseExcluded()
 {
-  std::vector<request_id> barred;
-  for (const auto& [latest, id] : mLatest) {
+  std::vector<request_id> excluded;
+  for (const auto& [latest, id] : mByLatestStart) {
     if (mWaiting.at(id).mFlow->mRule.mMaxSlots == 0U) {
-      barred.push_back(id);
+      excluded.push_back(id);
     }
   }
-  for (const request_id id : barred) {
+  for (const request_id id : excluded) {
     Unqueue(id);
     Refuse(id, refusal::LimitReached, duration::max());
   }
@@ -273,17 +277,17 @@
 void
 service_pool::Refuse(request_id aId, refusal aReason, duration aRetryAfter)
 {
-  mDecisions.emplace_back(refuse{ aId, aReason, Jittered(aRetryAfter) });
+  mDecisions.emplace_back(refuse{ aId, aReason, WithJitter(aRetryAfter) });
 }
 
 // Spread over a fifth: callers that were refused together must not come back
 // together.
 duration
-service_pool::Jittered(duration aRetryAfter) const
+service_pool::WithJitter(duration aRetryAfter) const
 {
   constexpr double kSpread = 0.2;
   const duration bounded =
-    std::clamp(aRetryAfter, kLeastRetryAfter, kMostRetryAfter);
+    std::clamp(aRetryAfter, kMinRetryAfter, kMaxRetryAfter);
   return FromSeconds(ToSeconds(bounded) *
                      (1 + (kSpread * mRandom->Fraction())));
 }
--- a/oriolewalk/traffic/service_time.h
+++ b/oriolewalk/traffic/service_time.h
@@ -31,7 +31,7 @@
 {
 public:
   void Add(duration aMeasured);
-  [[nodiscard]] bool Known() const { return mCount > 0; }
+  [[nodiscard]] bool IsKnown() const { return mCount > 0; }
   [[nodiscard]] double Seconds() const { return mSeconds; } // 0 if not known
 
 private:
--- a/oriolewalk/traffic/target_health.cc
+++ b/oriolewalk/traffic/target_health.cc
@@ -15,13 +15,13 @@
 
 constexpr double kSmoothing = 1.0 / 16;
 // A failure rate of fewer samples says little.
-constexpr std::uint32_t kLeastSamples = 16;
+constexpr std::uint32_t kMinSamples = 16;
 // One answer counts at most so many times its expected time: a single long
 // request cannot shrink a target by itself.
-constexpr double kMaxSample = 8;
+constexpr double kMaxSlownessSample = 8;
 constexpr std::uint32_t kMaxDoublings = 10;
 // Probing ends when this many slots were filled without a failure.
-constexpr std::uint32_t kRampEnd = 16;
+constexpr std::uint32_t kProbingEndSlots = 16;
 
 } // namespace
 
@@ -30,18 +30,18 @@
 {
   const bool failed = aFinish.mResult != finish_result::Answered;
   mFailureRate += ((failed ? 1.0 : 0.0) - mFailureRate) * kSmoothing;
-  mSamples = std::min(mSamples + 1, kLeastSamples);
+  mSamples = std::min(mSamples + 1, kMinSamples);
   if (!failed) {
     RecordAnswer(aFinish.mLatency, aExpected, aNow);
     return false;
   }
-  ++mInRow;
+  ++mConsecutiveFailures;
   if (mPhase == target_phase::Probing) {
     return true;
   }
   return mPhase == target_phase::Up &&
-         (mInRow >= mOptions.mConsecutiveFailures ||
-          (mSamples >= kLeastSamples && mFailureRate > mOptions.mFailureRate));
+         (mConsecutiveFailures >= mOptions.mConsecutiveFailures ||
+          (mSamples >= kMinSamples && mFailureRate > mOptions.mFailureRate));
 }
 
 void
@@ -49,24 +49,26 @@
 {
   // Healthy for as long as the longest ejection: the row of them is over.
   if (mPhase == target_phase::Up && aNow - mUpSince > mOptions.mMaxEjectFor) {
-    mEjections = 0;
+    mConsecutiveEjections = 0;
   }
-  const std::uint32_t doublings = std::min(mEjections, kMaxDoublings);
-  mUntil = aNow + std::min<duration>(mOptions.mEjectFor * (1U << doublings),
-                                     mOptions.mMaxEjectFor);
-  ++mEjections;
+  const std::uint32_t doublings =
+    std::min(mConsecutiveEjections, kMaxDoublings);
+  mEjectedUntil =
+    aNow + std::min<duration>(mOptions.mEjectFor * (1U << doublings),
+                              mOptions.mMaxEjectFor);
+  ++mConsecutiveEjections;
   mPhase = target_phase::Ejected;
 }
 
 bool
 target_health::Advance(time_point aNow)
 {
-  if (mPhase != target_phase::Ejected || aNow < mUntil) {
+  if (mPhase != target_phase::Ejected || aNow < mEjectedUntil) {
     return false;
   }
   mPhase = target_phase::Probing;
-  mRamp = 1;
-  mInRow = 0;
+  mProbeSlots = 1;
+  mConsecutiveFailures = 0;
   mSamples = 0;
   mFailureRate = 0;
   mSlowness = 1;
@@ -77,12 +79,12 @@
 target_health::Allowed(std::uint32_t aSlots) const
 {
   if (mPhase == target_phase::Probing) {
-    return std::min(aSlots, mRamp);
+    return std::min(aSlots, mProbeSlots);
   }
   if (mPhase != target_phase::Up) {
     return 0;
   }
-  if (!Slow()) {
+  if (!IsSlow()) {
     return aSlots;
   }
   const auto reduced =
@@ -95,16 +97,17 @@
                             double aExpected,
                             time_point aNow)
 {
-  mInRow = 0;
+  mConsecutiveFailures = 0;
   if (mPhase == target_phase::Probing) {
-    mRamp *= 2;
-    if (mRamp >= kRampEnd) {
+    mProbeSlots *= 2;
+    if (mProbeSlots >= kProbingEndSlots) {
       mPhase = target_phase::Up;
       mUpSince = aNow;
     }
   }
   if (aExpected > 0) {
-    const double sample = std::min(ToSeconds(aLatency) / aExpected, kMaxSample);
+    const double sample =
+      std::min(ToSeconds(aLatency) / aExpected, kMaxSlownessSample);
     mSlowness += (sample - mSlowness) * kSmoothing;
   }
 }
--- a/oriolewalk/traffic/target_health.h
+++ b/oriolewalk/traffic/target_health.h
@@ -44,16 +44,16 @@
   bool Advance(time_point aNow);
 
   [[nodiscard]] target_phase Phase() const { return mPhase; }
-  [[nodiscard]] time_point EjectedUntil() const { return mUntil; }
+  [[nodiscard]] time_point EjectedUntil() const { return mEjectedUntil; }
   // When a probe may be work that cannot be repeated.
-  [[nodiscard]] time_point PatientUntil() const
+  [[nodiscard]] time_point RepeatableOnlyUntil() const
   {
-    return mUntil + mOptions.mProbePatience;
+    return mEjectedUntil + mOptions.mRepeatableProbeWait;
   }
   // Of aSlots slots, how many may be used.
   [[nodiscard]] std::uint32_t Allowed(std::uint32_t aSlots) const;
   [[nodiscard]] double Slowness() const { return mSlowness; }
-  [[nodiscard]] bool Slow() const { return mSlowness > mOptions.mSlowFactor; }
+  [[nodiscard]] bool IsSlow() const { return mSlowness > mOptions.mSlowFactor; }
   [[nodiscard]] double FailureRate() const { return mFailureRate; }
 
 private:
@@ -61,13 +61,13 @@
 
   target_options mOptions;
   target_phase mPhase = target_phase::Up;
-  std::uint32_t mInRow = 0;
-  std::uint32_t mEjections = 0; // in a row
-  std::uint32_t mRamp = 1;      // slots while probing
+  std::uint32_t mConsecutiveFailures = 0;
+  std::uint32_t mConsecutiveEjections = 0; // in a row
+  std::uint32_t mProbeSlots = 1;           // slots while probing
   std::uint32_t mSamples = 0;
   double mFailureRate = 0;
   double mSlowness = 1;
-  time_point mUntil{};
+  time_point mEjectedUntil{};
   time_point mUpSince{};
 };
 
--- a/oriolewalk/traffic/target_pool.cc
+++ b/oriolewalk/traffic/target_pool.cc
@@ -21,9 +21,9 @@
 namespace oriolewalk::traffic {
 
 void
-target_pool::Up(const target_state& aTarget)
+target_pool::OnTargetUp(const target_state& aTarget)
 {
-  target& known = Find(aTarget.mId);
+  target& known = FindOrAdd(aTarget.mId);
   if (known.mPresence == target_phase::Leaving) {
     return;
   }
@@ -32,7 +32,7 @@
 }
 
 void
-target_pool::Leaving(const target_id& aTarget)
+target_pool::OnTargetLeaving(const target_id& aTarget)
 {
   const auto found = mTargets.find(aTarget);
   if (found != mTargets.end()) {
@@ -41,7 +41,7 @@
 }
 
 void
-target_pool::Gone(const target_id& aTarget)
+target_pool::OnTargetGone(const target_id& aTarget)
 {
   const auto found = mTargets.find(aTarget);
   if (found == mTargets.end()) {
@@ -49,51 +49,51 @@
   }
   SetPresence(*found->second, target_phase::Gone);
   if (found->second->mHeld == 0) {
-    Forget(aTarget);
+    Erase(aTarget);
   }
 }
 
 std::optional<target_id>
-target_pool::Choose(const target_wish& aWish,
+target_pool::Choose(const target_criteria& aCriteria,
                     random_source& aRandom,
                     time_point aNow) const
 {
   if (mFree.empty()) {
     return std::nullopt;
   }
-  const bool explore = mSlow > 0 && aRandom.Fraction() < mOptions.mExplore;
+  const bool explore = mSlow > 0 && aRandom.Fraction() < mOptions.mExploreShare;
   if (explore) {
     const auto idle = std::ranges::find_if(mFree, [](const target* aTarget) {
-      return aTarget->mHealth.Slow() && aTarget->mHeld == 0;
+      return aTarget->mHealth.IsSlow() && aTarget->mHeld == 0;
     });
     if (idle != mFree.end()) {
       return (*idle)->mState.mId;
     }
   }
   const std::size_t first = aRandom.Below(mFree.size());
-  const bool all = mFree.size() <= mOptions.mScan;
-  const target* best =
-    BestOfAll(aWish, first, all ? mFree.size() : mOptions.mSample, aNow);
+  const bool all = mFree.size() <= mOptions.mFullScanLimit;
+  const target* best = BestAmong(
+    aCriteria, first, all ? mFree.size() : mOptions.mSampleSize, aNow);
   if (best == nullptr && !all) {
-    best = BestOfAll(aWish, first, mFree.size(), aNow);
+    best = BestAmong(aCriteria, first, mFree.size(), aNow);
   }
   return best == nullptr ? std::nullopt
                          : std::optional<target_id>(best->mState.mId);
 }
 
 void
-target_pool::Hold(const target_id& aTarget)
+target_pool::AcquireSlot(const target_id& aTarget)
 {
-  target& found = Find(aTarget);
+  target& found = FindOrAdd(aTarget);
   ++found.mHeld;
   Refresh(found);
 }
 
 bool
-target_pool::Release(const target_id& aTarget,
-                     const finish& aFinish,
-                     double aExpectedSeconds,
-                     time_point aNow)
+target_pool::ReleaseSlot(const target_id& aTarget,
+                         const finish& aFinish,
+                         double aExpectedSeconds,
+                         time_point aNow)
 {
   const auto found = mTargets.find(aTarget);
   if (found == mTargets.end()) {
@@ -101,7 +101,7 @@
   }
   target& released = *found->second;
   --released.mHeld;
-  const bool wasSlow = released.mHealth.Slow();
+  const bool wasSlow = released.mHealth.IsSlow();
   const bool failing = released.mHealth.Record(aFinish, aExpectedSeconds, aNow);
   const bool eject =
     failing && released.mPresence == target_phase::Up &&
@@ -112,11 +112,11 @@
   } else if (released.mHealth.Phase() == target_phase::Up) {
     mEjected.erase(aTarget);
   }
-  mSlow += static_cast<std::uint32_t>(released.mHealth.Slow());
+  mSlow += static_cast<std::uint32_t>(released.mHealth.IsSlow());
   mSlow -= static_cast<std::uint32_t>(wasSlow);
   Refresh(released);
   if (released.mPresence == target_phase::Gone && released.mHeld == 0) {
-    Forget(aTarget);
+    Erase(aTarget);
   }
   return eject;
 }
@@ -126,14 +126,14 @@
 {
   bool changed = false;
   for (const auto& [id, each] : mEjected) {
-    const bool wasSlow = each->mHealth.Slow();
+    const bool wasSlow = each->mHealth.IsSlow();
     if (each->mHealth.Advance(aNow)) {
       mSlow -= static_cast<std::uint32_t>(wasSlow);
       Refresh(*each);
       changed = true;
     }
-    changed = changed || (each->mAtFree.has_value() &&
-                          aNow >= each->mHealth.PatientUntil());
+    changed = changed || (each->mFreeIndex.has_value() &&
+                          aNow >= each->mHealth.RepeatableOnlyUntil());
   }
   return changed;
 }
@@ -146,7 +146,7 @@
     const target_health& health = each->mHealth;
     const time_point due = health.Phase() == target_phase::Ejected
                              ? health.EjectedUntil()
-                             : health.PatientUntil();
+                             : health.RepeatableOnlyUntil();
     if (due > aNow || health.Phase() == target_phase::Ejected) {
       next = next ? std::min(*next, due) : due;
     }
@@ -166,7 +166,7 @@
       const target& each = *aEntry.second;
       return target_stats{
         aEntry.first, each.mState.mService,    each.mState.mDataCentre,
-        phase(each),  each.mState.mSlots,      each.mCounted,
+        phase(each),  each.mState.mSlots,      each.mUsableSlots,
         each.mHeld,   each.mHealth.Slowness(), each.mHealth.FailureRate()
       };
     });
@@ -175,7 +175,7 @@
 }
 
 target_pool::target&
-target_pool::Find(const target_id& aTarget)
+target_pool::FindOrAdd(const target_id& aTarget)
 {
   std::unique_ptr<target>& place = mTargets[aTarget];
   if (!place) {
@@ -189,8 +189,8 @@
 void
 target_pool::SetPresence(target& aTarget, target_phase aPresence)
 {
-  mServing -= aTarget.mPresence == target_phase::Up ? 1 : 0;
-  mServing += aPresence == target_phase::Up ? 1 : 0;
+  mAvailable -= aTarget.mPresence == target_phase::Up ? 1 : 0;
+  mAvailable += aPresence == target_phase::Up ? 1 : 0;
   aTarget.mPresence = aPresence;
   Refresh(aTarget);
 }
@@ -203,57 +203,59 @@
     std::min(aTarget.mState.mSlots, aTarget.mState.mConnections);
   const std::uint32_t allowed =
     aTarget.mPresence == target_phase::Up ? aTarget.mHealth.Allowed(slots) : 0;
-  mSlots = mSlots - aTarget.mCounted + allowed;
-  aTarget.mCounted = allowed;
+  mSlots = mSlots - aTarget.mUsableSlots + allowed;
+  aTarget.mUsableSlots = allowed;
   const bool isFree = aTarget.mHeld < allowed;
-  if (isFree && !aTarget.mAtFree) {
-    aTarget.mAtFree = mFree.size();
+  if (isFree && !aTarget.mFreeIndex) {
+    aTarget.mFreeIndex = mFree.size();
     mFree.push_back(&aTarget);
-  } else if (!isFree && aTarget.mAtFree) {
-    mFree.back()->mAtFree = aTarget.mAtFree;
-    mFree.at(*aTarget.mAtFree) = mFree.back();
+  } else if (!isFree && aTarget.mFreeIndex) {
+    mFree.back()->mFreeIndex = aTarget.mFreeIndex;
+    mFree.at(*aTarget.mFreeIndex) = mFree.back();
     mFree.pop_back();
-    aTarget.mAtFree.reset();
+    aTarget.mFreeIndex.reset();
   }
 }
 
 void
-target_pool::Forget(const target_id& aTarget)
+target_pool::Erase(const target_id& aTarget)
 {
   const auto found = mTargets.find(aTarget);
-  mSlow -= static_cast<std::uint32_t>(found->second->mHealth.Slow());
+  mSlow -= static_cast<std::uint32_t>(found->second->mHealth.IsSlow());
   mEjected.erase(aTarget);
   mTargets.erase(found);
 }
 
 bool
-target_pool::Suits(const target& aTarget,
-                   const target_wish& aWish,
-                   time_point aNow) const
+target_pool::IsSuitable(const target& aTarget,
+                        const target_criteria& aCriteria,
+                        time_point aNow) const
 {
   const target_health& health = aTarget.mHealth;
-  const bool urgent = aWish.mClass == work_class::Urgent;
-  if (health.Phase() == target_phase::Probing && aTarget.mCounted <= 1 &&
-      aNow < health.PatientUntil()) {
-    return aWish.mRepeatable && !urgent;
+  const bool urgent = aCriteria.mClass == work_class::Urgent;
+  if (health.Phase() == target_phase::Probing && aTarget.mUsableSlots <= 1 &&
+      aNow < health.RepeatableOnlyUntil()) {
+    return aCriteria.mRepeatable && !urgent;
   }
   // Where most are slow, slowness tells nothing.
-  const bool slow = health.Slow() && mSlow * 2 < mServing;
+  const bool slow = health.IsSlow() && mSlow * 2 < mAvailable;
   return !(urgent && slow);
 }
 
 double
-target_pool::Score(const target& aTarget, const target_wish& aWish) const
+target_pool::Score(const target& aTarget,
+                   const target_criteria& aCriteria) const
 {
-  const double load = (aTarget.mHeld + 1.0) / aTarget.mCounted;
-  const double near = aTarget.mState.mDataCentre == aWish.mOrigin
+  const double load = (aTarget.mHeld + 1.0) / aTarget.mUsableSlots;
+  const double near = aTarget.mState.mDataCentre == aCriteria.mOrigin
                         ? 0
                         : ToSeconds(mOptions.mCrossDataCentre);
-  return (load * aWish.mExpectedSeconds * aTarget.mHealth.Slowness()) + near;
+  return (load * aCriteria.mExpectedSeconds * aTarget.mHealth.Slowness()) +
+         near;
 }
 
 const target_pool::target*
-target_pool::BestOfAll(const target_wish& aWish,
+target_pool::BestAmong(const target_criteria& aCriteria,
                        std::size_t aFirst,
                        std::size_t aCount,
                        time_point aNow) const
@@ -262,10 +264,10 @@
   double least = std::numeric_limits<double>::infinity();
   for (std::size_t step = 0; step < aCount; ++step) {
     const target& each = *mFree[(aFirst + step) % mFree.size()];
-    if (!Suits(each, aWish, aNow)) {
+    if (!IsSuitable(each, aCriteria, aNow)) {
       continue;
     }
-    const double score = Score(each, aWish);
+    const double score = Score(each, aCriteria);
     if (score < least) {
       least = score;
       best = &each;
@@ -279,14 +281,14 @@
 bool
 target_pool::MayEjectOneMore() const
 {
-  const auto out =
+  const auto ejected =
     static_cast<double>(std::ranges::count_if(mEjected, [](const auto& aEntry) {
       return aEntry.second->mPresence == target_phase::Up &&
              aEntry.second->mHealth.Phase() == target_phase::Ejected;
     }));
-  const double most = std::max(mServing >= 2 ? 1.0 : 0.0,
-                               std::floor(mServing * mOptions.mMaxEjected));
-  return out + 1 <= most;
+  const double maxEjected = std::max(
+    mAvailable >= 2 ? 1.0 : 0.0, std::floor(mAvailable * mOptions.mMaxEjected));
+  return ejected + 1 <= maxEjected;
 }
 
 } // namespace oriolewalk::traffic
--- a/oriolewalk/traffic/target_pool.h
+++ b/oriolewalk/traffic/target_pool.h
@@ -35,7 +35,7 @@
 
 namespace oriolewalk::traffic {
 
-struct target_wish
+struct target_criteria
 {
   work_class mClass = work_class::Normal;
   bool mRepeatable = false;
@@ -51,20 +51,21 @@
   {
   }
 
-  void Up(const target_state& aTarget);
-  void Leaving(const target_id& aTarget);
-  void Gone(const target_id& aTarget);
+  void OnTargetUp(const target_state& aTarget);
+  void OnTargetLeaving(const target_id& aTarget);
+  void OnTargetGone(const target_id& aTarget);
 
   // A free target that suits the wish; nothing if there is none now.
-  [[nodiscard]] std::optional<target_id> Choose(const target_wish& aWish,
-                                                random_source& aRandom,
-                                                time_point aNow) const;
-  void Hold(const target_id& aTarget);
+  [[nodiscard]] std::optional<target_id> Choose(
+    const target_criteria& aCriteria,
+    random_source& aRandom,
+    time_point aNow) const;
+  void AcquireSlot(const target_id& aTarget);
   // True if the target was ejected by it. False as well if the id isn't known.
-  bool Release(const target_id& aTarget,
-               const finish& aFinish,
-               double aExpectedSeconds,
-               time_point aNow);
+  bool ReleaseSlot(const target_id& aTarget,
+                   const finish& aFinish,
+                   double aExpectedSeconds,
+                   time_point aNow);
 
   // Starts probes that are due. True if a target has become free.
   bool Advance(time_point aNow);
@@ -74,7 +75,7 @@
   // Slots of the targets that take new work.
   [[nodiscard]] std::uint32_t Slots() const { return mSlots; }
   // Whether any target takes new work, or will after an ejection.
-  [[nodiscard]] bool HasTargets() const { return mServing > 0; }
+  [[nodiscard]] bool HasTargets() const { return mAvailable > 0; }
   [[nodiscard]] bool Empty() const { return mTargets.empty(); }
   void AddStats(service_stats& aStats) const;
 
@@ -85,20 +86,20 @@
     target_health mHealth;
     target_phase mPresence = target_phase::Gone; // Up, Leaving or Gone
     std::uint32_t mHeld = 0;
-    std::uint32_t mCounted = 0;         // what it adds to mSlots
-    std::optional<std::size_t> mAtFree; // its place in mFree
+    std::uint32_t mUsableSlots = 0;        // what it adds to mSlots
+    std::optional<std::size_t> mFreeIndex; // its place in mFree
   };
 
-  target& Find(const target_id& aTarget);
+  target& FindOrAdd(const target_id& aTarget);
   void SetPresence(target& aTarget, target_phase aPresence);
   void Refresh(target& aTarget);
-  void Forget(const target_id& aTarget);
-  [[nodiscard]] bool Suits(const target& aTarget,
-                           const target_wish& aWish,
-                           time_point aNow) const;
+  void Erase(const target_id& aTarget);
+  [[nodiscard]] bool IsSuitable(const target& aTarget,
+                                const target_criteria& aCriteria,
+                                time_point aNow) const;
   [[nodiscard]] double Score(const target& aTarget,
-                             const target_wish& aWish) const;
-  [[nodiscard]] const target* BestOfAll(const target_wish& aWish,
+                             const target_criteria& aCriteria) const;
+  [[nodiscard]] const target* BestAmong(const target_criteria& aCriteria,
                                         std::size_t aFirst,
                                         std::size_t aCount,
                                         time_point aNow) const;
@@ -109,7 +110,7 @@
   std::vector<target*> mFree;            // with a slot that may be used
   std::map<target_id, target*> mEjected; // and probing ones
   std::uint32_t mSlots = 0;
-  std::uint32_t mServing = 0; // present and not leaving
+  std::uint32_t mAvailable = 0; // present and not leaving
   std::uint32_t mSlow = 0;
 };
 
--- a/oriolewalk/traffic/token_bucket.cc
+++ b/oriolewalk/traffic/token_bucket.cc
@@ -41,7 +41,7 @@
 }
 
 bool
-token_bucket::Full(time_point aNow) const
+token_bucket::IsFull(time_point aNow) const
 {
   return !mRate || Tokens(aNow) >= mBurst;
 }
--- a/oriolewalk/traffic/token_bucket.h
+++ b/oriolewalk/traffic/token_bucket.h
@@ -26,7 +26,7 @@
   [[nodiscard]] duration Wait(time_point aNow) const;
   void Take(time_point aNow);
   // Nothing to remember: a new bucket would be the same.
-  [[nodiscard]] bool Full(time_point aNow) const;
+  [[nodiscard]] bool IsFull(time_point aNow) const;
 
 private:
   [[nodiscard]] double Tokens(time_point aNow) const;
--- a/testing/traffic/dispatcher_test.cc
+++ b/testing/traffic/dispatcher_test.cc
@@ -159,10 +159,10 @@
   traffic.TargetUp(Target("t1", 1), kStart + milliseconds(500));
   CHECK(Only<dispatch>(traffic.TakeDecisions()).size() == 1);
 
-  dispatcher lonely({}, kSeed);
-  lonely.Arrive(Request(1), kStart);
-  lonely.Tick(kStart + seconds(2));
-  CHECK(Only<refuse>(lonely.TakeDecisions()).size() == 1);
+  dispatcher withoutTargets({}, kSeed);
+  withoutTargets.Arrive(Request(1), kStart);
+  withoutTargets.Tick(kStart + seconds(2));
+  CHECK(Only<refuse>(withoutTargets.TakeDecisions()).size() == 1);
 }
 
 TEST_CASE("expired work is refused at its deadline and never dispatched")
--- a/testing/traffic/retry_test.cc
+++ b/testing/traffic/retry_test.cc
@@ -12,13 +12,13 @@
   // The caller's payment timed out at the entry. The target may still be
   // working on it: a second attempt would pay twice, or overlap with the
   // first one even where repeating is allowed.
-  CHECK_FALSE(MayRunAgain({ finish_result::TimedOut, true, false }));
-  CHECK_FALSE(MayRunAgain({ finish_result::Unknown, true, false }));
-  CHECK_FALSE(MayRunAgain({ finish_result::Unknown, false, true }));
-  CHECK_FALSE(MayRunAgain({ finish_result::Answered, true, true }));
-  CHECK_FALSE(MayRunAgain({ finish_result::FailedFast, true, true }));
-  CHECK(MayRunAgain({ finish_result::Unknown, true, true }));
-  CHECK(MayRunAgain({ finish_result::NeverStarted, false, false }));
+  CHECK_FALSE(MayRetry({ finish_result::TimedOut, true, false }));
+  CHECK_FALSE(MayRetry({ finish_result::Unknown, true, false }));
+  CHECK_FALSE(MayRetry({ finish_result::Unknown, false, true }));
+  CHECK_FALSE(MayRetry({ finish_result::Answered, true, true }));
+  CHECK_FALSE(MayRetry({ finish_result::FailedFast, true, true }));
+  CHECK(MayRetry({ finish_result::Unknown, true, true }));
+  CHECK(MayRetry({ finish_result::NeverStarted, false, false }));
 }
 
 TEST_CASE("retries stay a share of successes")
--- a/testing/traffic/scenario_test.cc
+++ b/testing/traffic/scenario_test.cc
@@ -50,7 +50,7 @@
 CheckAlways(const outcome& aSeen)
 {
   CHECK(aSeen.mOverbooked == 0);
-  CHECK(aSeen.mToLeaving == 0);
+  CHECK(aSeen.mDispatchedToLeaving == 0);
 }
 
 TEST_CASE("under overload urgent work starts in time and goodput stays")
--- a/testing/traffic/target_test.cc
+++ b/testing/traffic/target_test.cc
@@ -31,11 +31,11 @@
 {
   target_pool pool{ target_options{} };
   for (std::uint32_t index = 0; index < aTargets; ++index) {
-    pool.Up({ Name(index),
-              service_id("s"),
-              data_centre_id(index % 2 == 0 ? "a" : "b"),
-              8,
-              60 });
+    pool.OnTargetUp({ Name(index),
+                      service_id("s"),
+                      data_centre_id(index % 2 == 0 ? "a" : "b"),
+                      8,
+                      60 });
   }
   return pool;
 }
@@ -46,8 +46,9 @@
   int ejected = 0;
   for (std::uint32_t index = 0; index < aTargets; ++index) {
     for (int failure = 0; failure < 20; ++failure) {
-      aPool.Hold(Name(index));
-      ejected += aPool.Release(Name(index), kFailure, kExpected, aNow) ? 1 : 0;
+      aPool.AcquireSlot(Name(index));
+      ejected +=
+        aPool.ReleaseSlot(Name(index), kFailure, kExpected, aNow) ? 1 : 0;
     }
   }
   return ejected;
@@ -72,8 +73,8 @@
   random_source random(1);
   const auto fail = [&] {
     for (int failure = 0; failure < 5; ++failure) {
-      pool.Hold(Name(0));
-      pool.Release(Name(0), kFailure, kExpected, kStart);
+      pool.AcquireSlot(Name(0));
+      pool.ReleaseSlot(Name(0), kFailure, kExpected, kStart);
     }
   };
   fail();
@@ -84,19 +85,21 @@
   CHECK(pool.Slots() == (2 * 8) + 1);
   for (std::uint32_t index = 1; index < 3; ++index) {
     for (int slot = 0; slot < 8; ++slot) {
-      pool.Hold(Name(index));
+      pool.AcquireSlot(Name(index));
     }
   }
   // Only the probed target has a slot free.
-  target_wish payment{ work_class::Normal, false, data_centre_id("a"), 0.02 };
+  target_criteria payment{
+    work_class::Normal, false, data_centre_id("a"), 0.02
+  };
   CHECK_FALSE(pool.Choose(payment, random, probing));
-  target_wish repeatable = payment;
+  target_criteria repeatable = payment;
   repeatable.mRepeatable = true;
   CHECK(pool.Choose(repeatable, random, probing) == Name(0));
   CHECK(pool.Choose(payment, random, probing + seconds(1)) == Name(0));
   for (int answer = 0; answer < 4; ++answer) {
-    pool.Hold(Name(0));
-    pool.Release(Name(0), kAnswer, kExpected, probing);
+    pool.AcquireSlot(Name(0));
+    pool.ReleaseSlot(Name(0), kAnswer, kExpected, probing);
   }
   CHECK(pool.Slots() == 3 * 8);
 }
@@ -110,9 +113,9 @@
     while (!health.Record(kFailure, kExpected, now)) {
     }
     health.Eject(now);
-    const duration out = health.EjectedUntil() - now;
-    CHECK(out > last);
-    last = out;
+    const duration ejectedFor = health.EjectedUntil() - now;
+    CHECK(ejectedFor > last);
+    last = ejectedFor;
     now = health.EjectedUntil();
     REQUIRE(health.Advance(now));
   }
@@ -134,12 +137,12 @@
 {
   target_pool pool = Pool(2); // t0 in a, t1 in b
   random_source random(1);
-  const target_wish quick{
+  const target_criteria quick{
     work_class::Normal, true, data_centre_id("a"), 0.02
   };
   CHECK(pool.Choose(quick, random, kStart) == Name(0));
   for (int slot = 0; slot < 4; ++slot) {
-    pool.Hold(Name(0));
+    pool.AcquireSlot(Name(0));
   }
   CHECK(pool.Choose(quick, random, kStart) == Name(1));
 }
