--- a/oriolewalk/traffic/class_order.cc
+++ b/oriolewalk/traffic/class_order.cc
@@ -13,9 +13,9 @@
 
 namespace {
 
-// How long urgent work is expected again after the last one.
+// Urgent work is expected for this long after the last urgent arrival.
 constexpr duration kUrgentWindow = seconds(60);
-// A class that ran alone for long owes at most this much.
+// Bounds the debt of a class that ran alone for a long time.
 constexpr double kMaxDebtSeconds = 60;
 
 double
--- a/oriolewalk/traffic/class_queue.cc
+++ b/oriolewalk/traffic/class_queue.cc
@@ -19,12 +19,12 @@
 
 namespace {
 
-// Before the first answer: what a quick request takes. Only fairness rests on
-// it; nothing is refused for it.
+// Estimate before the first answer, in seconds: a typical short request. It
+// affects only fairness; no request is refused because of it.
 constexpr double kInitialEstimateSeconds = 0.02;
-// A drain below this is taken as this: the estimate stays finite.
+// Lower bound of the drain, so that the expected wait stays finite.
 constexpr double kMinDrainSlots = 0.01;
-// Idle flows up to this number keep their measured service time.
+// Up to this many flows keep their measured service time while they are idle.
 constexpr std::size_t kMaxIdleFlows = 1024;
 
 void
@@ -174,11 +174,11 @@
                     aDrain);
 }
 
-// Callers take turns, so that a request waits for one round of all callers for
-// each request before it in its own queue, and never for more than the whole
-// flow. The flow drains by its share, or by the slots that it holds now: by
-// Little's law those are the slot seconds that it gets each second, lent share
-// included.
+// Callers are served in turn, so a request waits for one round of all callers
+// for each request ahead of it in its own queue, and never for more than the
+// whole flow. The flow drains at its share or at the number of slots that it
+// holds now, whichever is larger: by Little's law the held slots are the slot
+// seconds that it receives per second, including capacity lent by others.
 double
 class_queue::WaitBehind(const flow& aFlow,
                         double aInCaller,
@@ -233,7 +233,7 @@
   if (mFlows.size() <= kMaxIdleFlows) {
     return;
   }
-  // With nobody waiting nothing is owed to anybody.
+  // With no waiting flow, virtual times carry no debt that must be preserved.
   const bool noneWaiting = mOrder.Nodes().empty();
   std::erase_if(mFlows, [&](const auto& aEntry) {
     const flow& each = *aEntry.second;
@@ -251,8 +251,8 @@
   return { &aFlow, caller, caller->mWaiting.begin() };
 }
 
-// A flow at its slot limit leaves the order: choosing the next flow then never
-// steps over flows that may not run.
+// A flow at its slot limit leaves the order, so that the choice of the next
+// flow never has to skip flows that may not run.
 void
 class_queue::UpdateActivation(flow& aFlow)
 {
--- a/oriolewalk/traffic/class_queue.h
+++ b/oriolewalk/traffic/class_queue.h
@@ -1,16 +1,17 @@
 #pragma once
 
-// The queue of one class of one service: organisations in weighted fair order,
-// within each its callers in even fair order, within each caller first come,
-// first served.
+// The queue of one class of one service. Organisations are served in weighted
+// fair order, the callers of an organisation in equal shares, and the requests
+// of a caller in FIFO order.
 //
-// Load pattern: a hot caller or key inside an organisation, a hot organisation
-// inside a class. Without the two levels the sender with the longest queue
-// gets the slots, and the others wait behind it. Slot time is charged at
-// dispatch by the estimate and set right by the measured time.
+// This handles a hot caller or key within an organisation and a hot
+// organisation within a class. Without the two levels the sender with the
+// longest queue gets the slots and all others wait behind it. Slot time is
+// charged at dispatch by an estimate and corrected by the measured time.
 //
-// The root of its flows and callers: they change only through it. Owned by a
-// service_pool; one thread. Cost: O(log flows + log callers) for each change.
+// Owns its flows and callers, which change only through it. Owned by a
+// service_pool; used by one thread. Each change costs O(log flows + log
+// callers).
 
 #include <cstddef>
 #include <cstdint>
@@ -34,8 +35,8 @@
 
 enum class latest_start_bound : std::uint8_t
 {
-  Deadline, // the answer would come too late
-  MaxWait,  // the class allows no longer wait
+  Deadline, // after it the answer would be too late
+  MaxWait,  // the longest wait that the class allows
 };
 
 struct waiting_request
@@ -53,7 +54,7 @@
   std::list<waiting_request> mWaiting;
 };
 
-// One organisation's work in the class.
+// The work of one organisation in the class.
 struct flow
 {
   organisation_id mOrganisation;
@@ -78,20 +79,20 @@
 class class_queue
 {
 public:
-  // nullptr if there are aMaxFlows already.
+  // Returns nullptr if the flow is new and there are aMaxFlows already.
   flow* FindOrAddFlow(const organisation_id& aOrganisation,
                       const share_rule& aRule,
                       std::size_t aMaxFlows,
                       time_point aNow);
-  // Gives each flow its rule of the new policy.
+  // Applies the rules of the new policy to all flows.
   void SetPolicy(const share_policy& aPolicy,
                  work_class aClass,
                  time_point aNow);
 
   queue_position Push(flow& aFlow, waiting_request aRequest);
   void Remove(const queue_position& aPosition);
-  // The first request of the next flow for which aMayRun holds; a null flow if
-  // there is none. It stays queued until Remove.
+  // The first request of the next flow for which aMayRun holds. The position
+  // has a null flow if there is none. The request stays queued until Remove.
   template<class Predicate>
   queue_position Next(Predicate aMayRun) const
   {
@@ -99,41 +100,43 @@
     return next == nullptr ? queue_position{} : Front(*next);
   }
 
-  // A slot was given to the flow: charged by the estimate; returns the charge.
+  // Takes a slot for the flow, charges the estimate and returns the charge.
   double Start(const queue_position& aPosition);
-  // An attempt of an earlier leader: it holds a slot, and was charged there.
+  // Takes a slot for an attempt that an earlier leader started and charged.
   void StartRestored(flow& aFlow);
-  // aCharged is what Start gave (0 for restored ones).
+  // aCharged is the value that Start returned, or 0 for a restored attempt.
   void Finish(flow& aFlow,
               std::string_view aCallerKey,
               double aCharged,
               duration aHeld,
               bool aMeasured);
 
-  // Seconds that a further request of the caller would wait, if the class
-  // drains by aDrain slots.
+  // Expected wait in seconds of another request of the caller if the class is
+  // served by aDrain slots.
   [[nodiscard]] double ExpectedWait(const flow& aFlow,
                                     const std::string& aCallerKey,
                                     double aDrain) const;
-  // The same for the last one of the caller's queue.
+  // The same for the last request in the caller's queue.
   [[nodiscard]] double ExpectedWaitOfLast(const flow& aFlow,
                                           const caller_queue& aCaller,
                                           double aDrain) const;
   [[nodiscard]] static std::size_t WaitingOf(const flow& aFlow,
                                              const std::string& aCallerKey);
-  // Measured mean of the flow, else of the class, else a first guess.
+  // Seconds: the measured mean of the flow, else that of the class, else an
+  // initial estimate.
   [[nodiscard]] double Estimate(const flow& aFlow) const;
 
-  // By name, so that what is done to them is done in one order everywhere.
-  // Linear in the flows: for reviews and new policies.
+  // Sorted by organisation, so that the order of operations on them is
+  // deterministic. Linear in the flows: meant for reviews and new policies.
   [[nodiscard]] std::vector<flow*> WaitingFlows() const;
   [[nodiscard]] const auto& Flows() const { return mFlows; }
   [[nodiscard]] std::size_t Waiting() const { return mWaiting; }
   [[nodiscard]] std::uint32_t Held() const { return mHeld; }
   [[nodiscard]] const service_time& Time() const { return mTime; }
 
-  // Forgets flows that neither wait nor run and have nothing to remember, if
-  // there are many: organisations are named by callers.
+  // Evicts flows that neither wait nor run and have no state to preserve, once
+  // there are many. Organisations are named by callers, so that their number is
+  // not bounded otherwise.
   void DropIdle(time_point aNow);
 
 private:
--- a/oriolewalk/traffic/fair_order.h
+++ b/oriolewalk/traffic/fair_order.h
@@ -1,16 +1,16 @@
 #pragma once
 
-// Weighted fair order of nodes that have work (start-time fair queueing).
+// Weighted fair order of active nodes (start-time fair queueing).
 //
-// Load pattern: unlike senders that all have more work than fits. Without it
-// the one that sends most gets most. Each node has a virtual time that grows
-// by cost/weight; the node with the least is served next. A node that was idle
-// starts at the present virtual time: its unused share was lent to the others,
-// it is neither saved up nor owed, and the node has its share back with the
-// next free slot.
+// This handles unequal senders that all have more work than fits. Without it
+// the sender with the most requests gets the most capacity. Each node has a
+// virtual time that grows by cost/weight, and the node with the smallest one is
+// served next. A node that was idle starts at the current virtual time: its
+// unused share was lent to the others, it has neither credit nor debt, and it
+// gets its share back with the next free slot.
 //
-// Node needs a member `fair_tag mTag`. Owned by a queue; one thread. Cost:
-// O(log nodes) for each change.
+// Node needs a member `fair_tag mTag`. Owned by a queue; used by one thread.
+// Each change costs O(log nodes).
 
 #include <algorithm>
 #include <cstddef>
@@ -50,17 +50,17 @@
     }
     mNodes.erase({ tag.mVirtual, tag.mTurn });
     tag.mActive = false;
-    // Reset at empty, so that rounding never adds up.
+    // Reset when empty, so that rounding errors do not accumulate.
     mWeight = mNodes.empty() ? 0 : mWeight - tag.mWeight;
   }
 
-  // Moves the present on to the node that is about to be served.
+  // Advances the virtual time to the node that is about to be served.
   void Serve(const Node& aNode)
   {
     mVirtualTime = std::max(mVirtualTime, aNode.mTag.mVirtual);
   }
 
-  // aCost may be negative: the correction of an estimate that was too high.
+  // aCost is negative when it corrects an estimate that was too high.
   void Charge(Node& aNode, double aCost)
   {
     const bool active = aNode.mTag.mActive;
@@ -81,7 +81,7 @@
     }
   }
 
-  // The next node for which aMayRun holds; nullptr if there is none.
+  // Returns the first node for which aMayRun holds, or nullptr.
   template<class Predicate>
   [[nodiscard]] Node* First(Predicate aMayRun) const
   {
