--- a/oriolewalk/traffic/policy.cc
+++ b/oriolewalk/traffic/policy.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A weight of 0 would divide by zero; a tiny one waits, but is served.
+// A weight of 0 would divide by zero; the minimum still gets served.
 share_rule
 Checked(share_rule aRule)
 {
--- a/oriolewalk/traffic/policy.h
+++ b/oriolewalk/traffic/policy.h
@@ -1,7 +1,7 @@
 #pragma once
 
 // Weights and limits by organisation and class, as the dispatcher uses them.
-// The shell makes one from each version of the weights table:
+// One is built from each version of the weights table:
 //
 //   share_policy policy;
 //   policy.Set(organisation_id("taksa"), work_class::Urgent, { .mWeight = 3 });
@@ -18,23 +18,24 @@
 
 namespace oriolewalk::traffic {
 
-// One organisation in one class. Limits hold within each service; one that is
-// not set does not bind, and one of 0 lets nothing through.
+// The rule of one organisation in one class. Limits apply within each service.
+// A limit that is not set does not apply, and a limit of 0 admits nothing.
 struct share_rule
 {
   double mWeight = 1;                       // share of slot time; > 0
-  std::optional<std::uint32_t> mMaxSlots{}; // held at once
-  // Queued at once; 0: what cannot start at once is refused.
+  std::optional<std::uint32_t> mMaxSlots{}; // slots held at the same time
+  // Requests queued at the same time; with 0, a request that cannot start
+  // immediately is refused.
   std::optional<std::uint32_t> mMaxWaiting{};
-  std::optional<double> mRequestsPerSecond{}; // admitted
-  std::optional<double> mBurst{}; // above the rate; else one second of it
+  std::optional<double> mRequestsPerSecond{}; // admitted requests
+  std::optional<double> mBurst{};             // default: one second of the rate
 };
 
-// A value: copy it freely. Cost of Of: O(log rules).
+// A value type: copies are independent. Of costs O(log rules).
 class share_policy
 {
 public:
-  // For organisations without a rule of their own.
+  // The rule of organisations that have none of their own.
   void SetDefault(work_class aClass, const share_rule& aRule);
   void Set(const organisation_id& aOrganisation,
            work_class aClass,
--- a/oriolewalk/traffic/service_time.cc
+++ b/oriolewalk/traffic/service_time.cc
@@ -12,8 +12,8 @@
 {
   constexpr std::uint32_t kMemory = 16;
   mCount = std::min(mCount + 1, kMemory);
-  // The first answers are averaged evenly, so that the first one of all does
-  // not stay in the mean for long.
+  // The first answers have equal weight, so that the very first one does not
+  // dominate the mean for long.
   mSeconds += (ToSeconds(aMeasured) - mSeconds) / mCount;
 }
 
--- a/oriolewalk/traffic/service_time.h
+++ b/oriolewalk/traffic/service_time.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Measured mean time that work holds a slot.
+// The measured mean time for which work holds a slot.
 //
-// Load pattern: declared times are often far off. Without a measured time the
-// queue cannot tell whether a deadline can be met, and slot time cannot be
-// charged ahead. An exponentially weighted mean forgets: a weight of 1/16
-// follows a lasting change within some 30 answers, and one outlier moves it by
-// a sixteenth. Owned by a flow or a class; one thread; O(1).
+// This handles declared times that are often wrong. Without a measured time the
+// queue cannot predict whether a deadline can be met, and slot time cannot be
+// charged in advance. The mean is exponentially weighted: with a weight of 1/16
+// it follows a lasting change within about 30 answers, and one outlier moves it
+// by a sixteenth. Owned by a flow or a class; used by one thread; O(1).
 
 #include <cstdint>
 
@@ -32,7 +32,7 @@
 public:
   void Add(duration aMeasured);
   [[nodiscard]] bool IsKnown() const { return mCount > 0; }
-  [[nodiscard]] double Seconds() const { return mSeconds; } // 0 if not known
+  [[nodiscard]] double Seconds() const { return mSeconds; } // 0 if unknown
 
 private:
   double mSeconds = 0;
--- a/oriolewalk/traffic/token_bucket.h
+++ b/oriolewalk/traffic/token_bucket.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// Rate and burst of admissions.
+// Limits the rate and burst of admissions.
 //
-// Load pattern: an organisation that pays for a rate sends more. Without the
-// limit it may take what is idle now and is needed a moment later. Owned by a
-// flow; one thread; O(1).
+// This handles an organisation that sends more than the rate it pays for.
+// Without the limit it could take capacity that is idle now and needed a moment
+// later. Owned by a flow; used by one thread; O(1).
 
 #include <optional>
 
@@ -15,17 +15,17 @@
 class token_bucket
 {
 public:
-  // aRate per second, none: no limit. aBurst, none: one second of the rate; at
-  // least one, unless the rate is 0. A bucket that had no limit so far starts
-  // full.
+  // aRate is per second; without it there is no limit. aBurst defaults to one
+  // second of the rate, and is at least one unless the rate is 0. A bucket that
+  // had no limit before starts full.
   void Configure(std::optional<double> aRate,
                  std::optional<double> aBurst,
                  time_point aNow);
-  // Time until the next token; 0 if Take would succeed now. The longest span
-  // that there is, if there will never be one.
+  // Time until the next token, and 0 if Take would succeed now. Returns
+  // duration::max() if there will never be one.
   [[nodiscard]] duration Wait(time_point aNow) const;
   void Take(time_point aNow);
-  // Nothing to remember: a new bucket would be the same.
+  // Whether the bucket has no state to preserve: a new one would be the same.
   [[nodiscard]] bool IsFull(time_point aNow) const;
 
 private:
