--- a/oriolewalk/traffic/service_pool.cc
+++ b/oriolewalk/traffic/service_pool.cc
@@ -85,7 +85,7 @@
                       time_point aNow)
 {
   Advance(aNow);
-  // Limits on how much is remembered do not count here: the attempt runs.
+  // The bound on known flows does not apply: the attempt is already running.
   class_queue& queue = Queue(aAttempt.mClass);
   flow* owner = queue.FindOrAddFlow(
     aAttempt.mOrganisation, aRule, queue.Flows().size() + 1, aNow);
@@ -110,8 +110,8 @@
   const attempt ended = std::move(found->second);
   mAttempts.erase(found);
   mLongHeld -= ended.mIsLong ? 1 : 0;
-  // A quick failure says nothing of how long the work takes; a time-out says
-  // at least how long it did not end.
+  // A fast failure does not show how long the work takes. A timeout shows a
+  // lower bound.
   const bool measured = aFinish.mResult == finish_result::Answered ||
                         aFinish.mResult == finish_result::TimedOut;
   Queue(ended.mClass)
@@ -188,8 +188,8 @@
   return stats;
 }
 
-// Fills free slots. A class that may not start, or finds no suitable target,
-// leaves the slot to the next one.
+// Fills the free slots. A class that may not start, or that finds no suitable
+// target, leaves the slot to the next class.
 void
 service_pool::Place(time_point aNow)
 {
@@ -203,7 +203,7 @@
   }
 }
 
-// True if it took something from the queue.
+// Returns true if a request left the queue.
 bool
 service_pool::PlaceOne(work_class aClass, time_point aNow)
 {
--- a/oriolewalk/traffic/service_pool.h
+++ b/oriolewalk/traffic/service_pool.h
@@ -1,26 +1,28 @@
 #pragma once
 
-// One service: its queues by class and its targets, joined by the rules.
+// One service: its queues by class, its targets, and the rules between them.
 //
-// Admission (what a full system refuses at once):
-// - Load pattern: more arrives than can be done. Without admission the queue
-//   grows until each request is served after its deadline: goodput falls to
-//   nothing while all targets are busy.
-// - Memory: a caller may queue no more than is left of its organisation's
-//   bound (times a factor), an organisation no more than is left of its
-//   class's (dynamic threshold). A hot one alone is refused before the bound is
-//   full; the others find room. A plain bound is filled by the hot one, and
-//   refuses everybody.
-// - A request that must wait is admitted only if the expected wait fits its
-//   class's longest wait, and wait plus measured service time its deadline.
-// - What is queued has a latest start; at that moment it is refused, and it is
-//   never dispatched after it. Every few milliseconds the ends of the queues
-//   are checked against the present drain, so that work that has lost its
-//   chance (lent share taken back, targets gone) is told so at once.
+// Admission decides which requests are refused immediately:
+// - This handles more arrivals than the service can serve. Without admission
+//   the queue grows until each request is served after its deadline, and
+//   goodput falls to zero while all targets are busy.
+// - Memory: a caller may queue at most a factor times the unused part of its
+//   organisation's bound, and an organisation at most that of its class's bound
+//   (dynamic threshold). A single hot sender is refused before the bound is
+//   reached, which leaves capacity for the others. With a fixed bound alone the
+//   hot sender fills the queue and everybody is refused.
+// - A request that must wait is admitted only if the expected wait fits the
+//   longest wait of its class, and wait plus measured service time fit its
+//   deadline.
+// - Each queued request has a latest start time. It is refused at that time and
+//   never dispatched after it. Every few milliseconds the last requests of the
+//   queues are checked against the current drain, so that requests that can no
+//   longer start in time (because lent capacity was reclaimed or targets left)
+//   are refused early.
 //
-// Root of class_queue, class_order and target_pool. Owned by a dispatcher; one
-// thread. Cost: O(log waiting) each call; the review is O(flows that wait +
-// requests given up).
+// Owns its class_queue, class_order and target_pool. Owned by a dispatcher;
+// used by one thread. Each call costs O(log waiting); the review costs
+// O(waiting flows + refused requests).
 
 #include <array>
 #include <cstddef>
@@ -57,8 +59,8 @@
   void OnTargetLeaving(const target_id& aTarget, time_point aNow);
   void OnTargetGone(const target_id& aTarget, time_point aNow);
 
-  // aAwaitTargets: some targets have not announced themselves yet, but will
-  // soon; what they will drain cannot be estimated.
+  // aAwaitTargets: some targets are expected to announce themselves soon, so
+  // the drain cannot be estimated yet.
   void OnArrival(const arrival& aArrival,
                  const share_rule& aRule,
                  bool aIsAwaitingTargets,
@@ -67,9 +69,9 @@
   void Restore(const running_attempt& aAttempt,
                const share_rule& aRule,
                time_point aNow);
-  // True if its target was ejected by it.
+  // Returns true if the result ejected the target.
   bool OnFinished(request_id aId, const finish& aFinish, time_point aNow);
-  // aAwaitTargets: as for Arrive.
+  // aAwaitTargets: see OnArrival.
   void Tick(bool aIsAwaitingTargets, time_point aNow);
   [[nodiscard]] std::optional<time_point> NextWake() const;
 
@@ -80,7 +82,7 @@
   [[nodiscard]] bool HasDecisions() const { return !mDecisions.empty(); }
   [[nodiscard]] const service_id& Service() const { return mService; }
   [[nodiscard]] bool HasTargets() const { return mTargets.HasTargets(); }
-  // Nothing waits, runs or is known of targets.
+  // Whether no request waits or runs and no target is known.
   [[nodiscard]] bool IsIdle() const;
   [[nodiscard]] bool IsRunning(request_id aId) const
   {
@@ -96,7 +98,7 @@
     work_class mClass = work_class::Normal;
     std::string mCallerKey;
     double mCharged = 0;
-    double mExpected = 0; // seconds by measured mean; 0: not known
+    double mExpected = 0; // measured mean in seconds; 0 if unknown
     bool mIsLong = false;
     time_point mStarted{};
   };
@@ -148,12 +150,12 @@
 
   service_id mService;
   dispatch_options mOptions;
-  random_source* mRandom; // the dispatcher's
+  random_source* mRandom; // owned by the dispatcher
   std::array<class_queue, kClassCount> mQueues;
   class_order mOrder;
   target_pool mTargets;
   std::unordered_map<request_id, queue_position> mWaiting;
-  // By latest start.
+  // Sorted by latest start time.
   std::set<std::pair<time_point, request_id>> mByLatestStart;
   std::unordered_map<request_id, attempt> mAttempts;
   std::uint32_t mLongHeld = 0;
--- a/oriolewalk/traffic/service_pool_admission.cc
+++ b/oriolewalk/traffic/service_pool_admission.cc
@@ -17,19 +17,21 @@
 
 namespace {
 
-// Bounds of "come back after": under the first one, polling would cost more
-// than the answer; over the second one, a recovered system would idle.
+// Bounds of the delay after which a refused caller may retry. Below the minimum
+// the retries would cost more than the answer; above the maximum a recovered
+// system would be idle.
 constexpr duration kMinRetryAfter = milliseconds(50);
 constexpr duration kMaxRetryAfter = seconds(5);
-// Until targets have announced themselves.
+// Used until targets have announced themselves.
 constexpr duration kTargetRetryAfter = milliseconds(500);
-// Queued work is given up once its wait would exceed what is left by this
-// factor: estimates swing, and a request that was let in should not be turned
-// out by a swing.
+// A queued request is refused early once its expected wait exceeds the
+// remaining time by this factor. Estimates fluctuate, and a fluctuation should
+// not refuse a request that was admitted.
 constexpr double kReviewSlack = 2;
 
-// Dynamic threshold: aOwn may be kThreshold times what aUsed leaves of aBound.
-// One that is hot alone fills seven eighths; small bounds are usable whole.
+// Dynamic threshold: aOwn may be up to kThreshold times the unused part of
+// aBound. A single hot sender fills seven eighths; small bounds are fully
+// usable.
 bool
 PastThreshold(std::size_t aOwn, std::size_t aUsed, std::size_t aBound)
 {
@@ -75,7 +77,8 @@
   mByLatestStart.emplace(request.mLatestStart, aArrival.mId);
   mWaiting.emplace(aArrival.mId, queue.Push(*owner, request));
   Place(aNow);
-  // Let in on the hope of a free slot, which suited something else.
+  // The request was admitted because a slot was free, but the slot suited
+  // another request.
   if (owner->mWaiting > WaitingBound(*owner) &&
       mWaiting.contains(aArrival.mId)) {
     Unqueue(aArrival.mId);
@@ -101,8 +104,8 @@
     const double turn = Queue(aArrival.mClass).Estimate(aFlow);
     return { full, FromSeconds(turn) };
   }
-  // With a slot free and nobody before it a request is tried, whatever the
-  // estimate says: else one wrong measurement would shut a flow out for good.
+  // With a free slot and an empty queue a request is tried whatever the
+  // estimate: otherwise one wrong measurement would block a flow permanently.
   if (aIsAwaitingTargets ||
       (mTargets.HasFree() && Queue(aArrival.mClass).Waiting() == 0)) {
     return {};
@@ -165,13 +168,15 @@
                                  bool aIsAwaitingTargets,
                                  time_point aNow) const
 {
-  // Entries held what came while there was no leader: refusing it for the wait
-  // until the targets are known again would make a wave of refusals.
+  // Entries held back the requests that arrived while there was no leader.
+  // Refusing them because targets are not known yet would cause a wave of
+  // refusals.
   const duration ordinary =
     mOptions.mQueue.mMaxWait.at(IndexOf(aArrival.mClass));
   const duration longest =
     aIsAwaitingTargets ? std::max(ordinary, mOptions.mWarmUp) : ordinary;
-  // At least a moment, so that it is offered to a free slot once.
+  // At least one tick of the clock, so that the request can take a free slot
+  // once.
   const time_point byDeadline =
     std::max(aArrival.mDeadline - FromSeconds(aFlow.mTime.Seconds()),
              std::min(aNow + duration(1), aArrival.mDeadline));
@@ -219,8 +224,8 @@
   }
 }
 
-// Only the ends of queues are looked at, since the first request of a queue
-// that can be served in time is followed by others that may not.
+// Checks only the last requests of each queue: the first ones can still be
+// served in time when later ones cannot.
 void
 service_pool::ReviewCaller(class_queue& aQueue,
                            flow& aFlow,
@@ -228,8 +233,8 @@
                            double aDrain,
                            time_point aNow)
 {
-  // The last one is kept: removing it would remove the caller, and what has
-  // nobody before it is better left to its latest start.
+  // Keeps the last remaining request: removing it would remove the caller, and
+  // a request at the head of its queue can wait until its latest start time.
   while (aCaller.mWaiting.size() > 1) {
     const waiting_request& last = aCaller.mWaiting.back();
     const double wait = aQueue.ExpectedWaitOfLast(aFlow, aCaller, aDrain);
@@ -258,7 +263,8 @@
   }
 }
 
-// What a new policy bars for good is not left to wait for its latest start.
+// Requests that a new policy excludes are refused immediately instead of at
+// their latest start time.
 void
 service_pool::RefuseExcluded()
 {
@@ -280,7 +286,7 @@
   mDecisions.emplace_back(refuse{ aId, aReason, WithJitter(aRetryAfter) });
 }
 
-// Spread over a fifth: callers that were refused together must not come back
+// Adds up to a fifth, so that callers that were refused together do not retry
 // together.
 duration
 service_pool::WithJitter(duration aRetryAfter) const
