--- a/oriolewalk/traffic/stats.h
+++ b/oriolewalk/traffic/stats.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What the dispatcher tells about itself: for status pages and metrics.
+// The dispatcher's state and counters for status pages and metrics.
 
 #include <array>
 #include <cstddef>
@@ -16,10 +16,10 @@
 enum class target_phase : std::uint8_t
 {
   Up,
-  Probing, // after an ejection: few slots, more with each answer
+  Probing, // after an ejection: few slots, doubled by each answer
   Ejected,
   Leaving,
-  Gone, // still holds attempts
+  Gone, // still has attempts in progress
 };
 
 std::string_view
@@ -32,9 +32,9 @@
   data_centre_id mDataCentre;
   target_phase mPhase = target_phase::Up;
   std::uint32_t mSlots = 0;
-  std::uint32_t mAllowed = 0; // slots that may be used at present
+  std::uint32_t mAllowed = 0; // slots that may be used now
   std::uint32_t mHeld = 0;
-  double mSlowness = 1; // measured latency against what its peers take
+  double mSlowness = 1; // measured latency relative to its peers
   double mFailureRate = 0;
 };
 
@@ -45,14 +45,14 @@
   double mWeight = 1;
   std::size_t mWaiting = 0;
   std::uint32_t mHeld = 0;
-  double mMeanSeconds = 0; // 0: not measured yet
+  double mMeanSeconds = 0; // 0 if not measured yet
   double mChargedSeconds = 0;
 };
 
 struct service_stats
 {
   service_id mService;
-  std::uint32_t mSlots = 0; // of targets that take new work
+  std::uint32_t mSlots = 0; // of the targets that take new work
   std::array<std::size_t, kClassCount> mWaiting{};
   std::array<std::uint32_t, kClassCount> mHeld{};
   std::vector<flow_stats> mFlows;
@@ -72,7 +72,7 @@
 struct dispatcher_stats
 {
   dispatch_counters mCounters;
-  std::vector<service_stats> mServices; // by name
+  std::vector<service_stats> mServices; // sorted by name
 };
 
 } // namespace oriolewalk::traffic
--- a/oriolewalk/traffic/target_health.cc
+++ b/oriolewalk/traffic/target_health.cc
@@ -14,13 +14,13 @@
 namespace {
 
 constexpr double kSmoothing = 1.0 / 16;
-// A failure rate of fewer samples says little.
+// The failure rate is ignored below this number of samples.
 constexpr std::uint32_t kMinSamples = 16;
-// One answer counts at most so many times its expected time: a single long
-// request cannot shrink a target by itself.
+// Upper bound of a single latency sample in multiples of the expected time, so
+// that one long request cannot reduce a target's slots.
 constexpr double kMaxSlownessSample = 8;
 constexpr std::uint32_t kMaxDoublings = 10;
-// Probing ends when this many slots were filled without a failure.
+// Probing ends when the allowed slots have grown to this number.
 constexpr std::uint32_t kProbingEndSlots = 16;
 
 } // namespace
@@ -47,7 +47,8 @@
 void
 target_health::Eject(time_point aNow)
 {
-  // Healthy for as long as the longest ejection: the row of them is over.
+  // The target was healthy for the longest ejection time, so the series of
+  // consecutive ejections is over.
   if (mPhase == target_phase::Up && aNow - mUpSince > mOptions.mMaxEjectFor) {
     mConsecutiveEjections = 0;
   }
--- a/oriolewalk/traffic/target_pool.cc
+++ b/oriolewalk/traffic/target_pool.cc
@@ -195,7 +195,7 @@
   Refresh(aTarget);
 }
 
-// Keeps the sum of slots and the list of free targets true after any change.
+// Updates the sum of slots and the list of free targets after any change.
 void
 target_pool::Refresh(target& aTarget)
 {
@@ -237,7 +237,7 @@
       aNow < health.RepeatableOnlyUntil()) {
     return aCriteria.mRepeatable && !urgent;
   }
-  // Where most are slow, slowness tells nothing.
+  // If most targets are slow, slowness is no reason to avoid one.
   const bool slow = health.IsSlow() && mSlow * 2 < mAvailable;
   return !(urgent && slow);
 }
@@ -276,8 +276,9 @@
   return best;
 }
 
-// Bounded, since failures of all targets are rather the work's fault or the
-// network's: ejecting them all would turn a partial failure into a whole one.
+// Bounded, because failures of all targets are more likely caused by the
+// requests or the network, and ejecting all targets would turn a partial
+// failure into a total one.
 bool
 target_pool::MayEjectOneMore() const
 {
--- a/oriolewalk/traffic/target_pool.h
+++ b/oriolewalk/traffic/target_pool.h
@@ -1,21 +1,20 @@
 #pragma once
 
-// The targets of one service, their slots, and the choice among free ones.
+// The targets of one service, their slots, and the choice among free targets.
 //
-// A slot is held from dispatch until the attempt is known to have ended; a
-// target never holds more attempts than slots or connections, also over
-// leaving and coming back. Among free targets the one with the least
-// (outstanding + 1) / slots * latency wins, with the way to another data
-// centre added: near targets are preferred until the difference in load costs
-// more than the way.
+// A slot is held from dispatch until the attempt is known to have ended. A
+// target never has more attempts than slots or connections, even across leaving
+// and returning. Among free targets the smallest (outstanding + 1) / slots *
+// latency wins, where another data centre adds its round trip: near targets are
+// preferred until the difference in load costs more than the round trip.
 //
-// Load pattern: unlike and changing targets. Without it, random choice sends
-// to full targets while others idle, and least outstanding alone prefers the
-// quickly failing one.
+// This handles unequal and changing targets. Without it, random choice sends
+// requests to full targets while others are idle, and least outstanding alone
+// prefers the target that fails fast.
 //
-// The root of its targets. Owned by a service_pool; one thread. Cost of
-// Choose: O(min(free targets, scan limit)); of the rest O(1), but Advance is
-// linear in the targets that are ejected.
+// Owns its targets. Owned by a service_pool; used by one thread. Choose costs
+// O(min(free targets, scan limit)), Advance is linear in the ejected targets,
+// and all else is O(1).
 
 #include <cstddef>
 #include <cstdint>
@@ -55,26 +54,27 @@
   void OnTargetLeaving(const target_id& aTarget);
   void OnTargetGone(const target_id& aTarget);
 
-  // A free target that suits the wish; nothing if there is none now.
+  // Returns a free target that meets the criteria, or nothing.
   [[nodiscard]] std::optional<target_id> Choose(
     const target_criteria& aCriteria,
     random_source& aRandom,
     time_point aNow) const;
   void AcquireSlot(const target_id& aTarget);
-  // True if the target was ejected by it. False as well if the id isn't known.
+  // Returns true if the result ejected the target, and false if it did not or
+  // if the id is unknown.
   bool ReleaseSlot(const target_id& aTarget,
                    const finish& aFinish,
                    double aExpectedSeconds,
                    time_point aNow);
 
-  // Starts probes that are due. True if a target has become free.
+  // Starts the probes that are due. Returns true if a target became free.
   bool Advance(time_point aNow);
   [[nodiscard]] std::optional<time_point> NextWake(time_point aNow) const;
 
   [[nodiscard]] bool HasFree() const { return !mFree.empty(); }
-  // Slots of the targets that take new work.
+  // The slots of all targets that take new work.
   [[nodiscard]] std::uint32_t Slots() const { return mSlots; }
-  // Whether any target takes new work, or will after an ejection.
+  // Whether any target takes new work, now or after an ejection.
   [[nodiscard]] bool HasTargets() const { return mAvailable > 0; }
   [[nodiscard]] bool Empty() const { return mTargets.empty(); }
   void AddStats(service_stats& aStats) const;
@@ -86,8 +86,8 @@
     target_health mHealth;
     target_phase mPresence = target_phase::Gone; // Up, Leaving or Gone
     std::uint32_t mHeld = 0;
-    std::uint32_t mUsableSlots = 0;        // what it adds to mSlots
-    std::optional<std::size_t> mFreeIndex; // its place in mFree
+    std::uint32_t mUsableSlots = 0;        // its part of the pool's mSlots
+    std::optional<std::size_t> mFreeIndex; // index in mFree
   };
 
   target& FindOrAdd(const target_id& aTarget);
@@ -107,10 +107,10 @@
 
   target_options mOptions;
   std::unordered_map<target_id, std::unique_ptr<target>> mTargets;
-  std::vector<target*> mFree;            // with a slot that may be used
-  std::map<target_id, target*> mEjected; // and probing ones
+  std::vector<target*> mFree;            // targets with a usable slot
+  std::map<target_id, target*> mEjected; // ejected and probing targets
   std::uint32_t mSlots = 0;
-  std::uint32_t mAvailable = 0; // present and not leaving
+  std::uint32_t mAvailable = 0; // targets that are present and not leaving
   std::uint32_t mSlow = 0;
 };
 
--- a/oriolewalk/traffic/types.h
+++ b/oriolewalk/traffic/types.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Values that go into and come out of the traffic modules.
+// Input and output values of the traffic modules.
 
 #include <cstddef>
 #include <cstdint>
@@ -18,8 +18,9 @@
 using oriolewalk::kClasses;
 using oriolewalk::work_class;
 
-// Made by the shell for one attempt to place a request; never used again in
-// the life of one dispatcher, also not for another attempt of the same key.
+// Identifies one attempt to place a request. Allocated by the dispatcher's
+// owner, and never reused during the lifetime of a dispatcher, not even for
+// another attempt of the same key.
 using request_id = number_id<struct traffic_request_tag>;
 
 struct arrival
@@ -27,14 +28,14 @@
   request_id mId;
   service_id mService;
   organisation_id mOrganisation;
-  std::string mCallerKey; // whose share within the organisation it uses
+  std::string mCallerKey; // whose share within the organisation is used
   work_class mClass = work_class::Normal;
   bool mRepeatable = false;
   data_centre_id mOrigin; // of the entry that will call the target
-  time_point mDeadline{}; // from here on the answer is worthless
+  time_point mDeadline{}; // afterwards the answer is worthless
 };
 
-// An attempt that a new leader finds in the ledger.
+// A running attempt that a new leader finds in the ledger.
 struct running_attempt
 {
   request_id mId;
@@ -55,24 +56,24 @@
 
 enum class finish_result : std::uint8_t
 {
-  Answered,     // a whole answer that the target vouches for
-  FailedFast,   // an error answer, or a broken one
+  Answered,     // a complete answer that the target vouches for
+  FailedFast,   // an error answer or an invalid one
   NeverStarted, // refused before start, e.g. no connection
-  TimedOut,     // the deadline came first
+  TimedOut,     // the deadline passed first
   Unknown,      // the connection broke after the request was sent
 };
 
 struct finish
 {
   finish_result mResult = finish_result::Answered;
-  duration mLatency{}; // from sending to the end, as the entry saw it
+  duration mLatency{}; // from sending to the end, as measured by the entry
 };
 
 enum class refusal : std::uint8_t
 {
   Overloaded,         // its queue is longer than the class may wait
-  LimitReached,       // the organisation's own rate or queue bound
-  CannotMeetDeadline, // the measured service time does not fit any more
+  LimitReached,       // the organisation's own rate or queue limit
+  CannotMeetDeadline, // too little time is left for the measured service time
   Expired,            // the deadline has passed
   NoTarget,           // the service has no target that takes new work
 };
