--- a/testing/traffic/dispatcher_test.cc
+++ b/testing/traffic/dispatcher_test.cc
@@ -46,7 +46,7 @@
   return kept;
 }
 
-TEST_CASE("slots are never exceeded, and a finish frees one")
+TEST_CASE("slots are never exceeded, and a finished attempt frees its slot")
 {
   dispatcher traffic({}, kSeed);
   traffic.TargetUp(Target("t1", 2), kStart);
@@ -60,7 +60,7 @@
   CHECK(next.front().mId == request_id(3));
 }
 
-TEST_CASE("fewer connections than slots bound the target")
+TEST_CASE("a target gets no more attempts than it has connections")
 {
   dispatcher traffic({}, kSeed);
   target_state target = Target("t1", 8);
@@ -72,11 +72,11 @@
   CHECK(Only<dispatch>(traffic.TakeDecisions()).size() == 3);
 }
 
-TEST_CASE("a leaving target gets nothing new, not even by a late renewal")
+TEST_CASE("a leaving target gets no new requests, even after a late renewal")
 {
-  // The target says that it leaves; a renewal that it had sent before arrives
-  // after that. Were it taken for a new announcement, requests would go to a
-  // process that is about to end.
+  // The target announces that it leaves, and a renewal that it sent before
+  // arrives afterwards. If the renewal counted as a new announcement, requests
+  // would go to a process that is about to end.
   dispatcher traffic({}, kSeed);
   traffic.TargetUp(Target("t1", 1), kStart);
   traffic.TargetUp(Target("t2", 1), kStart);
@@ -90,11 +90,11 @@
   }
 }
 
-TEST_CASE("attempts of an earlier leader keep their slots")
+TEST_CASE("a new leader keeps the slots of attempts that already run")
 {
-  // The leader dies with an attempt in progress. The new one learns of it from
-  // the ledger before the target announces itself; giving its slot to another
-  // request would run nine on eight slots.
+  // The leader fails with an attempt in progress. The new leader learns of it
+  // from the ledger before the target announces itself. If it gave the slot to
+  // another request, nine attempts would run on eight slots.
   dispatcher traffic({}, kSeed);
   traffic.Restore(
     { request_id(1), kFees, target_id("t1"), kTaksa, work_class::Normal },
@@ -108,7 +108,7 @@
   CHECK(Only<dispatch>(traffic.TakeDecisions()).size() == 1);
 }
 
-TEST_CASE("a target that is gone and back still holds its old attempts")
+TEST_CASE("a target that returns still holds the slots of its old attempts")
 {
   dispatcher traffic({}, kSeed);
   traffic.TargetUp(Target("t1", 1), kStart);
@@ -122,7 +122,7 @@
   CHECK(Only<dispatch>(traffic.TakeDecisions()).size() == 1);
 }
 
-TEST_CASE("a caller that hangs up leaves the queue; an attempt goes on")
+TEST_CASE("cancelling removes a waiting request but no running attempt")
 {
   dispatcher traffic({}, kSeed);
   traffic.TargetUp(Target("t1", 1), kStart);
@@ -135,7 +135,7 @@
   CHECK(traffic.TakeDecisions().empty());
 }
 
-TEST_CASE("when the last target goes, all that waits is told at once")
+TEST_CASE("when the last target leaves, all waiting requests are refused")
 {
   dispatcher traffic({}, kSeed);
   traffic.TargetUp(Target("t1", 1), kStart);
@@ -149,7 +149,7 @@
   CHECK(refused.front().mRetryAfter > duration::zero());
 }
 
-TEST_CASE("a new leader waits for targets to announce themselves, but not long")
+TEST_CASE("a new leader waits a limited time for targets to be announced")
 {
   // Callers' requests reach the new leader before the targets' next renewal.
   // Refusing them would turn each leader change into a wave of refusals.
@@ -165,7 +165,7 @@
   CHECK(Only<refuse>(withoutTargets.TakeDecisions()).size() == 1);
 }
 
-TEST_CASE("expired work is refused at its deadline and never dispatched")
+TEST_CASE("an expired request is refused at its deadline and never dispatched")
 {
   dispatcher traffic({}, kSeed);
   traffic.TargetUp(Target("t1", 1), kStart);
@@ -184,7 +184,7 @@
   CHECK(Only<refuse>(decided).front().mReason == refusal::Expired);
 }
 
-TEST_CASE("an organisation's own limits bind it, and nobody else")
+TEST_CASE("an organisation's limits apply to it alone")
 {
   dispatcher traffic({}, kSeed);
   share_policy policy;
@@ -215,10 +215,10 @@
   CHECK(Only<refuse>(decided).size() == 1);
 }
 
-TEST_CASE("a limit of 0 lets nothing through, at once and with a reason")
+TEST_CASE("a limit of 0 refuses requests immediately with LimitReached")
 {
-  // An operator bars an organisation by a 0 in the table. Its requests must
-  // neither run nor wait for their deadline.
+  // An operator blocks an organisation with a 0 in the weights table. Its
+  // requests must neither run nor wait for their deadline.
   const auto refusedBy = [](const share_rule& aRule) {
     dispatcher traffic({}, kSeed);
     share_policy policy;
@@ -235,7 +235,7 @@
   CHECK_FALSE(refusedBy({ .mMaxWaiting = 0 }));
 }
 
-TEST_CASE("a policy that bars an organisation answers what it has waiting")
+TEST_CASE("a policy that blocks an organisation refuses its waiting requests")
 {
   dispatcher traffic({}, kSeed);
   traffic.TargetUp(Target("t1", 1), kStart);
@@ -250,7 +250,7 @@
   CHECK(refused.front().mReason == refusal::LimitReached);
 }
 
-TEST_CASE("without a queue, what cannot start at once is refused")
+TEST_CASE("with a queue limit of 0, a request that cannot start is refused")
 {
   dispatcher traffic({}, kSeed);
   share_policy policy;
--- a/testing/traffic/entry_limiter_test.cc
+++ b/testing/traffic/entry_limiter_test.cc
@@ -36,7 +36,7 @@
   return !verdict.mRefused.has_value();
 }
 
-// Admits until the first refusal; returns how many.
+// Admits requests until the first refusal and returns how many were admitted.
 int
 Fill(entry_limiter& aLimiter, const entry_request& aRequest)
 {
@@ -47,14 +47,15 @@
   return admitted;
 }
 
-TEST_CASE("calls in progress are not held against their caller")
+TEST_CASE("calls in progress do not count against their caller")
 {
-  // One caller sends forty requests at once, before any answer is back.
+  // One caller sends forty requests at once before the first answer. If calls
+  // in progress counted as refused, the caller would be throttled.
   entry_limiter limiter({}, kSeed);
   CHECK(Fill(limiter, From(kTaksa, work_class::Urgent)) >= 40);
 }
 
-TEST_CASE("urgent calls find room when lower classes have filled their part")
+TEST_CASE("urgent calls are admitted when lower classes have used their share")
 {
   entry_limiter limiter({}, kSeed);
   const int heavy = Fill(limiter, From(kTaksa, work_class::Heavy));
@@ -66,11 +67,11 @@
   CHECK(static_cast<double>(heavy + normal + urgent) <= limiter.Limit());
 }
 
-TEST_CASE("one organisation's calls do not keep another's out")
+TEST_CASE("one organisation's calls do not shut out another organisation")
 {
   // The first organisation sends all it can; the second one, of equal weight,
-  // comes later. It gets calls in progress at once, and its half as calls of
-  // the first one end.
+  // arrives later. It gets calls in progress immediately, and its half of the
+  // limit as calls of the first one end.
   entry_limiter limiter({}, kSeed);
   const entry_request first = From(organisation_id("a"), work_class::Normal);
   const entry_request second = From(organisation_id("b"), work_class::Normal);
@@ -105,11 +106,11 @@
   CHECK(limiter.Limit() > before);
 }
 
-TEST_CASE("what control refuses to one caller is not held against others")
+TEST_CASE("control's refusals of one caller do not throttle another caller")
 {
-  // A hot caller's requests are nearly all refused by control. The entry stops
-  // sending most of them; another caller of the same organisation, whose
-  // requests are accepted, loses nothing.
+  // Control refuses nearly all requests of a hot caller. The entry stops
+  // sending most of them. Another caller of the same organisation, whose
+  // requests are accepted, must not be affected.
   entry_limiter limiter({}, kSeed);
   const entry_request hot = From(kTaksa, work_class::Normal, "hot");
   const entry_request calm = From(kTaksa, work_class::Normal, "calm");
@@ -130,15 +131,15 @@
     }
   }
   CHECK(hotSent < 200);
-  CHECK(hotSent > 10); // it still learns when times get better
+  CHECK(hotSent > 10); // still detects that control accepts again
   CHECK(calmRefused == 0);
 }
 
-TEST_CASE("with control as the bottleneck the urgent still get through")
+TEST_CASE("urgent calls are served when control is the bottleneck")
 {
-  // Control serves 2 calls a millisecond; 5 arrive: 1 urgent, 4 normal. It
-  // queues what it is sent, so that without the limiter the queue grows by 3 a
-  // millisecond and every call, urgent or not, is lost within a second.
+  // Control serves 2 calls a millisecond, and 5 arrive: 1 urgent and 4 normal.
+  // Without the limiter control's queue grows by 3 calls a millisecond, and
+  // every call of any class is lost within a second.
   entry_options options;
   options.mSlowCall = milliseconds(20);
   entry_limiter limiter(options, kSeed);
@@ -171,7 +172,7 @@
         0.95 * static_cast<double>(urgentOffered));
 }
 
-TEST_CASE("the record of callers is bounded")
+TEST_CASE("the number of caller records is bounded")
 {
   entry_limiter limiter({}, kSeed);
   for (std::size_t caller = 0; caller < 3 * entry_limiter::kMaxCallers;
@@ -185,7 +186,7 @@
   CHECK(limiter.InProgress() == 0);
 }
 
-TEST_CASE("entries together keep a target's connections")
+TEST_CASE("all entries together stay within a target's connections")
 {
   CHECK(ConnectionsPerEntry(60, 7) * 7 <= 60);
   CHECK(ConnectionsPerEntry(60, 7) >= 8);
--- a/testing/traffic/retry_test.cc
+++ b/testing/traffic/retry_test.cc
@@ -7,11 +7,11 @@
 namespace oriolewalk::traffic {
 namespace {
 
-TEST_CASE("an attempt that may still run is never followed by another")
+TEST_CASE("an attempt that may still run is never retried")
 {
-  // The caller's payment timed out at the entry. The target may still be
-  // working on it: a second attempt would pay twice, or overlap with the
-  // first one even where repeating is allowed.
+  // The caller's payment timed out at the entry while the target may still be
+  // working on it. A second attempt would pay twice, or overlap with the first
+  // one even if the work is repeatable.
   CHECK_FALSE(MayRetry({ finish_result::TimedOut, true, false }));
   CHECK_FALSE(MayRetry({ finish_result::Unknown, true, false }));
   CHECK_FALSE(MayRetry({ finish_result::Unknown, false, true }));
@@ -21,10 +21,10 @@
   CHECK(MayRetry({ finish_result::NeverStarted, false, false }));
 }
 
-TEST_CASE("retries stay a share of successes")
+TEST_CASE("retries are limited to a share of the successes")
 {
-  // All targets fail while a thousand requests succeeded before: retries go
-  // on for a tenth of them, and then trickle.
+  // All targets fail after many requests succeeded. Retries continue for a
+  // tenth of the successes and then only at the minimum rate.
   const time_point now{ seconds(100) };
   retry_budget budget;
   for (int success = 0; success < 500; ++success) {
--- a/testing/traffic/scenario_test.cc
+++ b/testing/traffic/scenario_test.cc
@@ -1,5 +1,5 @@
-// What callers receive when the system is full, by class and organisation.
-// The scenarios are those of docs/POLICY.md, shortened.
+// Tests what callers receive under overload and faults, by class and
+// organisation. The scenarios are those of docs/POLICY.md, shortened.
 
 #include <catch2/catch.hpp>
 
@@ -45,7 +45,7 @@
   return aSeen.mByLabel.at(aLabel).mSlotSeconds / all;
 }
 
-// Holds in every scenario of the project's own policy.
+// Holds in every scenario under the project's own policy.
 void
 CheckAlways(const outcome& aSeen)
 {
@@ -53,11 +53,11 @@
   CHECK(aSeen.mDispatchedToLeaving == 0);
 }
 
-TEST_CASE("under overload urgent work starts in time and goodput stays")
+TEST_CASE("under overload urgent work starts in time and goodput stays high")
 {
-  // All targets are busy with normal work, of which far more arrives than can
-  // be served. Urgent requests go ahead of it; normal ones that cannot be
-  // served in time are refused at once; heavy ones keep their floor.
+  // Far more normal work arrives than the targets can serve. Urgent requests
+  // are served first, normal ones that cannot be served in time are refused
+  // immediately, and heavy ones keep their floor.
   const outcome full = Run(Short(Overload(1)), policy_kind::Own);
   for (const double times : { 1.5, 3.0, 10.0 }) {
     const outcome seen = Run(Short(Overload(times)), policy_kind::Own);
@@ -73,7 +73,7 @@
         0.5 * full.mGoodput);
 }
 
-TEST_CASE("organisations that all want more get slot time by weight")
+TEST_CASE("organisations under overload get slot time by weight")
 {
   const outcome seen = Run(Short(SharesUnderOverload()), policy_kind::Own);
   CheckAlways(seen);
@@ -84,11 +84,11 @@
   }
 }
 
-TEST_CASE("a hot caller or key costs the others little")
+TEST_CASE("a hot caller or key has little effect on other callers")
 {
-  // One caller of an organisation, or one key, sends more than the whole
-  // system can do. The others' requests take turns with its queue instead of
-  // standing behind it, and find room in the bounded queue.
+  // One caller of an organisation, or one key, sends more than the capacity of
+  // the whole system. The other callers' requests alternate with its queue
+  // instead of waiting behind it, and still fit into the bounded queue.
   const auto check = [](const scenario& aCalm, const scenario& aHot) {
     const outcome calm = Run(Short(aCalm), policy_kind::Own);
     const outcome hot = Run(Short(aHot), policy_kind::Own);
@@ -103,21 +103,21 @@
   check(HotKey(false), HotKey(true));
 }
 
-TEST_CASE("slow targets hold up few requests")
+TEST_CASE("slow targets delay few requests")
 {
-  // Two of fifty targets turn ten times slower. Within a few answers they get
-  // a slot or so each; with least outstanding they keep a full set.
+  // Two of fifty targets become ten times slower. Within a few answers each is
+  // reduced to about one slot; with least outstanding they keep all slots.
   const outcome own = Run(Short(SlowTarget()), policy_kind::Own);
   CheckAlways(own);
   CHECK(Percentile(Of(own, work_class::Urgent).mResponses, 0.99) < 0.11);
   CHECK(InTime(Of(own, work_class::Normal)) > 0.99);
 }
 
-TEST_CASE("targets that fail at once attract no work")
+TEST_CASE("targets that fail immediately attract no work")
 {
-  // Three of fifty targets answer every request with a quick failure, so that
-  // their slots are always free. They are ejected after a few failures; by
-  // least outstanding they would draw a large part of all requests.
+  // Three of fifty targets answer every request with a fast failure, so their
+  // slots are always free. They are ejected after a few failures; with least
+  // outstanding they would attract a large part of all requests.
   const outcome own = Run(Short(FailingTarget()), policy_kind::Own);
   const outcome least =
     Run(Short(FailingTarget()), policy_kind::LeastOutstanding);
@@ -132,8 +132,8 @@
 
 TEST_CASE("long work cannot fill all slots ahead of short work")
 {
-  // Not shortened: the long work that started before it was measured to be long
-  // holds half of the slots for its first seconds.
+  // Not shortened: the long work that starts before it is measured to be long
+  // holds half of the slots for the first seconds.
   const outcome seen = Run(LongAmongShort(), policy_kind::Own);
   CheckAlways(seen);
   CHECK(Percentile(Of(seen, work_class::Urgent).mWaits, 0.99) < 0.05);
@@ -141,7 +141,7 @@
   CHECK(Share(seen, "heavy") > 0.09);
 }
 
-TEST_CASE("a burst is refused or served, and leaves no mark on the others")
+TEST_CASE("a burst is served or refused and does not affect other callers")
 {
   const outcome seen = Run(Short(Burst()), policy_kind::Own);
   CheckAlways(seen);
@@ -151,7 +151,7 @@
   CHECK(burst.mLate + burst.mPending == 0);
 }
 
-TEST_CASE("callers that send again at once do not bring goodput down")
+TEST_CASE("immediate resends by callers do not reduce goodput")
 {
   const outcome seen = Run(Short(RetryStorm()), policy_kind::Own);
   CheckAlways(seen);
@@ -159,22 +159,22 @@
   CHECK(InTime(Of(seen, work_class::Urgent)) > 0.99);
 }
 
-TEST_CASE("a third of the targets leaves at once")
+TEST_CASE("urgent callers are unaffected when a third of the targets leaves")
 {
-  // 17 of 50 targets say that they leave while the system is at four fifths of
-  // its capacity. Nothing new goes to them; urgent callers notice nothing.
+  // 17 of 50 targets announce that they leave while the load is four fifths of
+  // the capacity. They get no new requests, and urgent callers see no effect.
   const outcome seen = Run(Short(ThirdLeaves()), policy_kind::Own);
   CheckAlways(seen);
   CHECK(InTime(Of(seen, work_class::Urgent)) > 0.99);
   CHECK(Percentile(Of(seen, work_class::Urgent).mWaits, 0.99) < 0.05);
 }
 
-TEST_CASE("a leader change under load overbooks nothing")
+TEST_CASE("a leader change under load overbooks no target")
 {
-  // The leader is lost at 1.5 times the capacity; the next one is there half a
-  // second later, learns of running attempts from the ledger and of targets by
-  // their renewals, and gets the undecided requests again. Callers see the
-  // gap as waiting time, not as refusals of urgent work.
+  // The leader fails at 1.5 times the capacity and is replaced after half a
+  // second. The new leader learns of running attempts from the ledger and of
+  // targets from their renewals, and the entries send it the undecided requests
+  // again. Callers see the gap as waiting time, not as refusals of urgent work.
   const outcome seen = Run(Short(LeaderChange(), 8), policy_kind::Own);
   CheckAlways(seen);
   CHECK(InTime(Of(seen, work_class::Urgent)) > 0.99);
--- a/testing/traffic/target_test.cc
+++ b/testing/traffic/target_test.cc
@@ -56,8 +56,8 @@
 
 TEST_CASE("no more than a third of the targets is ejected")
 {
-  // Every target fails everything: the fault is in the requests or on the way.
-  // Ejecting them all would leave callers with no target at all.
+  // Every target fails every request, so the cause is in the requests or the
+  // network. Ejecting all targets would leave callers without any.
   target_pool ten = Pool(10);
   CHECK(EjectAll(ten, 10, kStart) == 3);
   CHECK(ten.Slots() == 7 * 8);
@@ -88,7 +88,7 @@
       pool.AcquireSlot(Name(index));
     }
   }
-  // Only the probed target has a slot free.
+  // Only the probing target has a free slot.
   target_criteria payment{
     work_class::Normal, false, data_centre_id("a"), 0.02
   };
@@ -104,7 +104,7 @@
   CHECK(pool.Slots() == 3 * 8);
 }
 
-TEST_CASE("a flapping target stays out longer each time")
+TEST_CASE("each ejection of a flapping target lasts longer than the last")
 {
   target_health health{ target_options{} };
   time_point now = kStart;
@@ -121,7 +121,7 @@
   }
 }
 
-TEST_CASE("a slow target keeps few slots; a service slow as a whole keeps all")
+TEST_CASE("slowness relative to peers, not latency alone, reduces slots")
 {
   target_health slow{ target_options{} };
   target_health evenly{ target_options{} };
@@ -133,7 +133,7 @@
   CHECK(evenly.Allowed(8) == 8);
 }
 
-TEST_CASE("the near data centre is preferred until it is much busier")
+TEST_CASE("the nearer data centre is preferred until its load is much higher")
 {
   target_pool pool = Pool(2); // t0 in a, t1 in b
   random_source random(1);
