--- a/bench/traffic_baselines.h
+++ b/bench/traffic_baselines.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The policies that scenarios compare, behind one variant: the project's own,
-// and four that are often met.
+// The policies that the scenarios compare, behind one variant: the project's
+// own policy and common baselines.
 
 #include <cstddef>
 #include <cstdint>
@@ -26,9 +26,9 @@
 enum class policy_kind : std::uint8_t
 {
   Own,
-  Fifo,             // one queue for all, slots kept, no deadline looked at
-  Random,           // to any target at once; the target queues
-  LeastOutstanding, // to the least busy one at once; the target queues
+  Fifo,             // one FIFO queue within the slots; deadlines are ignored
+  Random,           // immediately to a random target, which queues
+  LeastOutstanding, // immediately to the least busy target, which queues
   NoLimit,          // own order and placement, but everything is admitted
   LentCredits,      // seven own dispatchers with lent slots
 };
@@ -36,7 +36,7 @@
 std::string_view
 ToString(policy_kind aKind);
 
-// Targets as the two simple kinds of baseline know them.
+// Targets as the simple baselines see them.
 class plain_targets
 {
 public:
@@ -49,7 +49,7 @@
   {
     return mTargets.at(aIndex).first.mId;
   }
-  // The index of the least busy one, if there is any.
+  // Returns the index of the least busy target, or nothing if there is none.
   [[nodiscard]] std::optional<std::size_t> LeastBusy() const;
   [[nodiscard]] bool HasSlot(std::size_t aIndex) const
   {
@@ -80,7 +80,7 @@
   std::vector<traffic::decision> mDecisions;
 };
 
-// Random, or least outstanding.
+// Sends each request immediately to a random or the least busy target.
 class direct_policy
 {
 public:
@@ -105,8 +105,9 @@
   std::vector<traffic::decision> mDecisions;
 };
 
-// Seven entries with a dispatcher each; each target's slots are lent to them
-// anew every 100 ms, free ones in proportion to what each has queued or runs.
+// Seven entries with one dispatcher each. The slots of each target are lent to
+// them again every 100 ms: free slots in proportion to what each entry has
+// queued or running.
 class credit_policy
 {
 public:
--- a/bench/traffic_bench.cc
+++ b/bench/traffic_bench.cc
@@ -1,4 +1,5 @@
-// Scenarios of docs/POLICY.md, under the project's own policy and baselines.
+// Runs the scenarios of docs/POLICY.md under the project's own policy and under
+// the baselines.
 
 #include <algorithm>
 #include <array>
@@ -70,7 +71,7 @@
            const std::string& aName,
            const outcome& aSeen)
 {
-  double slotSeconds = 1e-9; // none is no share, not a division by zero
+  double slotSeconds = 1e-9; // avoids a division by zero
   for (const traffic::work_class each : traffic::kClasses) {
     const caller_outcome& seen = aSeen.mByClass.at(IndexOf(each));
     std::string name = aName;
@@ -99,7 +100,7 @@
 bool
 Compares(const scenario& aScenario, policy_kind aKind)
 {
-  // The others have no state that a leader change could lose.
+  // The baselines have no state that a leader change could lose.
   return aScenario.mLeaderLostSeconds < 0 || aKind == policy_kind::Own;
 }
 
@@ -122,9 +123,9 @@
   }
 }
 
-// One placer with committed claims against lent slot credits. A claim must be
-// committed in both, since "at most once" rests on it; the credits are also
-// shown without, as the best that they could be.
+// Compares one placer that commits claims with lent slot credits. At-most-once
+// execution requires a committed claim in both cases. Credits without a commit
+// are also shown, as the best that they could achieve.
 void
 RunPlacers(bench_report& aReport)
 {
@@ -151,7 +152,7 @@
   }
 }
 
-// Decision cost against the number of targets and organisations.
+// Measures the cost of a decision by the number of targets and organisations.
 void
 RunSizes(bench_report& aReport)
 {
@@ -186,7 +187,7 @@
   }
 }
 
-// How many of the free targets to compare: all, eight, two or one.
+// Compares numbers of free targets to choose from: all, eight, two or one.
 void
 RunChoices(bench_report& aReport)
 {
--- a/bench/traffic_driver.cc
+++ b/bench/traffic_driver.cc
@@ -36,7 +36,7 @@
 namespace {
 
 const service_id kService("service");
-constexpr double kNearRoundTripSeconds = 0.0002; // there and back
+constexpr double kNearRoundTripSeconds = 0.0002; // round trip
 constexpr double kFarRoundTripSeconds = 0.002;
 constexpr double kFailSeconds = 0.001;
 constexpr double kLeaderGapSeconds = 0.5;
@@ -50,9 +50,9 @@
   double mService = 0;
   time_point mArrivedAt{};
   time_point mDeadline{};
-  time_point mTriedAt{}; // when this try arrived
+  time_point mTriedAt{}; // when the current try arrived
   std::size_t mTarget = 0;
-  bool mHoldsSlot = false; // holds a slot of mTarget
+  bool mHoldsSlot = false; // whether it holds a slot of mTarget
   std::uint32_t mTries = 0;
   bool mIsUndecided = false;
   bool mIsCounted = false;
@@ -65,7 +65,7 @@
 {
   traffic::target_state mState;
   std::uint32_t mRunning = 0;
-  std::deque<std::size_t> mQueue; // of requests
+  std::deque<std::size_t> mQueue; // indexes of requests
   double mFactor = 1;
   bool mIsFailing = false;
   bool mHasLeft = false;
@@ -110,7 +110,7 @@
   outcome Run();
 
 private:
-  // Setting up.
+  // Setup.
   void MakeTargets();
   void MakeArrivals();
   void MakeArrivalsOf(std::size_t aSource);
@@ -127,7 +127,7 @@
   void LoseLeader();
   void ElectLeader();
 
-  // Between policy and world.
+  // Between the policy and the simulated system.
   template<class Call>
   void CallPolicy(Call aCall);
   void Offer(std::size_t aRequest);
@@ -153,7 +153,8 @@
   time_point mNow = mStart;
   std::vector<fake_target> mTargets;
   std::vector<request> mRequests;
-  // The policy's id of a try is its place in this.
+  // By try: the index of its request. The policy's request id is the index of
+  // the try.
   std::vector<std::size_t> mTries;
   std::vector<std::uint64_t> mLastTry; // by request: its last try
   std::priority_queue<event> mEvents;
@@ -182,7 +183,7 @@
     const event next = mEvents.top();
     Wake();
     if (mEvents.top().mAt < next.mAt) {
-      continue; // waking scheduled something earlier
+      continue; // Wake scheduled an earlier event
     }
     mEvents.pop();
     mNow = std::max(mNow, next.mAt);
@@ -365,7 +366,7 @@
     Resend(aRequest, milliseconds(20));
   }
   if (!mHasLeader) {
-    return; // the ledger learns of it; the next leader won't restore it
+    return; // the ledger has its end, so the next leader won't restore it
   }
   CallPolicy([&](auto& aPolicy) {
     const request_id id(mLastTry[aRequest]);
@@ -377,7 +378,8 @@
   });
 }
 
-// The part that lies in the window, of work that has ended or still runs.
+// Counts the part of the slot time that lies in the window, for work that has
+// ended or still runs.
 void
 runner::CountSlotTime(std::size_t aRequest, bool aFailed)
 {
@@ -429,8 +431,8 @@
   }
 }
 
-// A new leader knows running attempts from the ledger and targets by their
-// renewals, and gets the undecided requests again from the entries.
+// The new leader learns of running attempts from the ledger and of targets from
+// their renewals, and the entries send it the undecided requests again.
 void
 runner::ElectLeader()
 {
@@ -466,7 +468,7 @@
   }
 }
 
-// Calls the policy, then carries out what it decided. Only the call is timed.
+// Calls the policy and applies its decisions. Only the call itself is timed.
 template<class Call>
 void
 runner::CallPolicy(Call aCall)
@@ -570,7 +572,7 @@
   return true;
 }
 
-// Ticks the policy for each moment that it asks for before the next event.
+// Ticks the policy at each time that it requests before the next event.
 void
 runner::Wake()
 {
--- a/bench/traffic_scenario.cc
+++ b/bench/traffic_scenario.cc
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr double kQuick = 0.02; // a fee check
-constexpr double kLong = 3;     // a settlement
+constexpr double kQuick = 0.02; // seconds; a fee check
+constexpr double kLong = 3;     // seconds; a settlement
 constexpr double kUrgentPart = 0.3;
 constexpr double kHeavyPart = 0.2;
 
@@ -52,7 +52,7 @@
 
 } // namespace
 
-// aTimes the capacity in all, the urgent part alone always fits.
+// The load is aTimes the capacity in total; the urgent part alone always fits.
 scenario
 Overload(double aTimes)
 {
@@ -64,7 +64,7 @@
   return made;
 }
 
-// Four organisations offer far more than fits, against weights 1 : 2 : 3 : 4.
+// Four organisations with weights 1 : 2 : 3 : 4 offer far more than fits.
 scenario
 SharesUnderOverload()
 {
@@ -72,7 +72,7 @@
   made.mName = "shares";
   for (int weight = 1; weight <= 4; ++weight) {
     const std::string name = "weight" + std::to_string(weight);
-    // Unlike service times: shares are of slot time, not of requests.
+    // Service times differ, because shares are of slot time, not of requests.
     source each = Normal(made, 1.5, name);
     each.mMeanSeconds = kQuick * weight;
     each.mPerSecond /= weight;
@@ -84,8 +84,8 @@
   return made;
 }
 
-// Twenty callers of one organisation use two thirds of the capacity; then one
-// more sends twice the capacity.
+// Twenty callers of one organisation use two thirds of the capacity. If aHot,
+// one more caller sends twice the capacity.
 scenario
 HotCaller(bool aHot)
 {
@@ -101,7 +101,7 @@
   return made;
 }
 
-// Eight urgent callers with little work each, one key that is asked for at
+// 200 urgent callers with little work each. If aHot, one key is requested at
 // three times the capacity of the service.
 scenario
 HotKey(bool aHot)
@@ -121,7 +121,7 @@
   return made;
 }
 
-// Two of fifty targets answer ten times slower from second 3 on.
+// Two of fifty targets become ten times slower at second 3.
 scenario
 SlowTarget()
 {
@@ -133,7 +133,7 @@
   return made;
 }
 
-// Three of fifty fail everything at once from second 3 to 6.
+// Three of fifty targets fail every request immediately from second 3 to 6.
 scenario
 FailingTarget()
 {
@@ -147,8 +147,8 @@
   return made;
 }
 
-// Long work that alone would fill the slots twice, in the heavy class and
-// hidden in the normal class, before and among quick work.
+// Long work in the heavy class and mislabelled as normal, before and among
+// short work. The long work alone would fill the slots twice.
 scenario
 LongAmongShort()
 {
@@ -166,7 +166,7 @@
   return made;
 }
 
-// Half of the capacity, and for half a second eight times the capacity.
+// Half of the capacity, plus eight times the capacity for half a second.
 scenario
 Burst()
 {
@@ -179,7 +179,7 @@
   return made;
 }
 
-// A sixth over capacity, and callers that send again at once.
+// A sixth over capacity, with callers that send again immediately.
 scenario
 RetryStorm()
 {
@@ -193,7 +193,7 @@
   return made;
 }
 
-// At four fifths of capacity, 17 of 50 targets leave at second 4.
+// At four fifths of the capacity, 17 of 50 targets leave at second 4.
 scenario
 ThirdLeaves()
 {
@@ -206,7 +206,7 @@
   return made;
 }
 
-// 1.5 times the capacity; no leader for half a second from second 4 on.
+// 1.5 times the capacity, without a leader for half a second from second 4 on.
 scenario
 LeaderChange()
 {
--- a/bench/traffic_scenario.h
+++ b/bench/traffic_scenario.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What arrives, and what happens to targets, in one traffic scenario. A
-// scenario is data: the same seeded arrivals are given to each policy.
+// The arrivals and target events of one traffic scenario. A scenario is data:
+// each policy gets the same seeded arrivals.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,16 +16,16 @@
 
 namespace oriolewalk::bench {
 
-// Independent arrivals (Poisson) with exponential service times.
+// Independent (Poisson) arrivals with exponential service times.
 struct source
 {
-  std::string mLabel; // outcomes are gathered by it
+  std::string mLabel; // outcomes are grouped by it
   organisation_id mOrganisation;
   traffic::work_class mClass = traffic::work_class::Normal;
   double mPerSecond = 0;
   double mMeanSeconds = 0.02;
   duration mDeadline = seconds(2);
-  std::uint32_t mCallers = 20; // it spreads evenly over so many caller keys
+  std::uint32_t mCallers = 20; // number of caller keys, equally likely
   bool mRepeatable = false;
   double mFrom = 0; // seconds
   double mTo = 1e9;
@@ -34,9 +34,9 @@
 enum class target_change : std::uint8_t
 {
   Slow,    // service times are multiplied by mFactor
-  Fail,    // every request fails in a millisecond
-  Recover, // neither any more
-  Leave,   // says so; ends when idle
+  Fail,    // every request fails within a millisecond
+  Recover, // ends Slow and Fail
+  Leave,   // announces that it leaves; ends when idle
 };
 
 struct target_event
@@ -50,8 +50,8 @@
 enum class resend_rule : std::uint8_t
 {
   Never,
-  AfterRefusal, // when the answer says so; five times at most
-  Immediately,  // 20 ms after any failure or refusal; ten times at most
+  AfterRefusal, // after the time that the refusal gives; at most five times
+  Immediately,  // 20 ms after any failure or refusal; at most ten times
 };
 
 struct scenario
@@ -67,16 +67,17 @@
   double mSeconds = 14;
   double mWarmUp = 2; // outcomes of earlier arrivals do not count
   resend_rule mResend = resend_rule::Never;
-  double mLeaderLostSeconds = -1; // seconds; < 0: never
-  // Between a decision and its effect: the commit of the claim, uniform.
+  double mLeaderLostSeconds = -1; // seconds; negative: never
+  // Delay between a decision and its effect, uniformly distributed: the commit
+  // of the claim.
   double mMinCommitSeconds = 0;
   double mMaxCommitSeconds = 0;
-  // Extra share of all arrivals that the first of seven entries gets.
+  // Additional share of all arrivals that goes to the first of seven entries.
   double mSkew = 0;
   std::uint64_t mSeed = 1;
 };
 
-// Requests per second that fill the slots with work of this mean.
+// Requests per second with this mean service time that fill all slots.
 inline double
 FullLoad(const scenario& aScenario, double aMeanSeconds)
 {
