--- a/fuzzing/traffic_fuzz.cc
+++ b/fuzzing/traffic_fuzz.cc
@@ -1,5 +1,5 @@
-// The dispatcher against a simple oracle: any order of events, and after each
-// of them the promises that do not depend on how it decides.
+// Runs the dispatcher against a simple oracle: applies any sequence of events
+// and checks after each event the guarantees that hold whatever it decides.
 
 #include <fuzzer/FuzzedDataProvider.h>
 
@@ -158,12 +158,12 @@
     made.mDeadline =
       mNow + milliseconds(mData.ConsumeIntegralInRange(-5, 5000));
     mWaiting.emplace(made.mId, made);
-    Require(mTraffic.Arrive(made, mNow), "a new id is taken");
+    Require(mTraffic.Arrive(made, mNow), "a new id is accepted");
     CheckDecisions();
     const bool held =
       mWaiting.contains(made.mId) || mRunning.contains(made.mId);
     if (held) {
-      Require(!mTraffic.Arrive(made, mNow), "an id is taken once");
+      Require(!mTraffic.Arrive(made, mNow), "an id is accepted only once");
     }
   }
 
@@ -171,7 +171,7 @@
   {
     const request_id id = PickRequest();
     Require(mTraffic.Cancel(id, mNow) == (mWaiting.erase(id) > 0),
-            "exactly what waits can be cancelled");
+            "exactly the waiting requests can be cancelled");
   }
 
   void Restore()
@@ -234,7 +234,7 @@
   void AdvanceTime()
   {
     mNow += milliseconds(mData.ConsumeIntegralInRange(0, 2000));
-    // A shell may be late with its tick: events come first then.
+    // The owner's tick may be late, so that other events come first.
     mHasTicked = mData.ConsumeBool();
     if (mHasTicked) {
       mTraffic.Tick(mNow);
@@ -250,9 +250,9 @@
                             },
                              [&](const refuse& aRefuse) {
                                Require(mWaiting.erase(aRefuse.mId) > 0,
-                                       "one decision for each arrival");
+                                       "each arrival gets one decision");
                                Require(aRefuse.mRetryAfter > duration::zero(),
-                                       "a refusal says when to come back");
+                                       "a refusal gives a retry delay");
                              } },
                  each);
     }
@@ -261,34 +261,36 @@
     }
     mHasTicked = false;
     for (const auto& [id, waits] : mWaiting) {
-      Require(mNow < waits.mDeadline, "nothing waits past its deadline");
+      Require(mNow < waits.mDeadline, "no request waits past its deadline");
     }
   }
 
   void CheckDispatch(const dispatch& aDispatch, const dispatcher_stats& aStats)
   {
     const auto found = mWaiting.find(aDispatch.mId);
-    Require(found != mWaiting.end(), "only what waits is dispatched, once");
+    Require(found != mWaiting.end(),
+            "only a waiting request is dispatched, and once");
     const arrival request = found->second;
     mWaiting.erase(found);
-    Require(mNow < request.mDeadline, "nothing expired is dispatched");
+    Require(mNow < request.mDeadline, "no expired request is dispatched");
     known_target& target = mTargets.at(aDispatch.mTarget);
-    Require(target.mIsServing,
-            "nothing new to a target that leaves or is gone");
+    Require(target.mIsServing, "a leaving or gone target gets no request");
     ++target.mHeld;
     Require(target.mHeld <=
               std::min(target.mState.mSlots, target.mState.mConnections),
-            "slots and connections are kept");
+            "slots and connections are not exceeded");
     const auto limit =
       mPolicy.Of(request.mOrganisation, request.mClass).mMaxSlots;
     const std::uint32_t held =
       ++mHeld[{ request.mOrganisation, request.mClass }];
-    Require(!limit || held <= *limit, "an organisation's limit is kept");
+    Require(!limit || held <= *limit,
+            "an organisation's limit is not exceeded");
     for (const target_stats& seen : aStats.mServices.at(0).mTargets) {
       Require(
         seen.mId != aDispatch.mTarget ||
           (seen.mPhase != target_phase::Ejected && seen.mHeld <= seen.mAllowed),
-        "no more than allowed, and nothing to an ejected target");
+        "allowed slots are not exceeded, and an ejected target gets no "
+        "request");
     }
     mRunning.emplace(aDispatch.mId,
                      running_request{ aDispatch.mTarget,
@@ -310,15 +312,15 @@
                 "slots held are those of running attempts");
       }
     }
-    Require(waiting == mWaiting.size(), "nothing that waits is lost");
-    Require(held == mRunning.size(), "nothing that runs is lost");
+    Require(waiting == mWaiting.size(), "no waiting request is lost");
+    Require(held == mRunning.size(), "no running attempt is lost");
     const auto due = mTraffic.NextWake();
     for (const auto& [id, waits] : mWaiting) {
-      Require(due && *due <= waits.mDeadline, "a wake is asked for in time");
+      Require(due && *due <= waits.mDeadline, "a wake-up is requested in time");
     }
   }
 
-  // Everything ends: each arrival has got its decision.
+  // Ends all attempts and checks that each arrival got its decision.
   void Drain()
   {
     while (!mRunning.empty()) {
@@ -332,7 +334,7 @@
     const dispatch_counters& counters = mTraffic.Counters();
     const std::uint64_t refused = std::accumulate(
       counters.mRefused.begin(), counters.mRefused.end(), std::uint64_t{ 0 });
-    Require(mWaiting.empty(), "everything gets its decision");
+    Require(mWaiting.empty(), "every request gets its decision");
     Require(counters.mArrived ==
               counters.mDispatched + counters.mCancelled + refused,
             "arrivals are dispatched, cancelled or refused");
