--- a/bench/traffic_baselines.cc
+++ b/bench/traffic_baselines.cc
@@ -94,30 +94,30 @@
 }
 
 void
-fifo_policy::TargetUp(const target_state& aTarget, time_point /*aNow*/)
+fifo_policy::OnTargetUp(const target_state& aTarget, time_point /*aNow*/)
 {
   mTargets.Add(aTarget);
   Place();
 }
 
 void
-fifo_policy::TargetLeaving(const target_id& aTarget, time_point /*aNow*/)
+fifo_policy::OnTargetLeaving(const target_id& aTarget, time_point /*aNow*/)
 {
   mTargets.Remove(aTarget);
 }
 
 void
-fifo_policy::Arrive(const arrival& aArrival, time_point /*aNow*/)
+fifo_policy::OnArrival(const arrival& aArrival, time_point /*aNow*/)
 {
   mQueue.push_back(aArrival.mId);
   Place();
 }
 
 void
-fifo_policy::Finished(request_id /*aId*/,
-                      const target_id& aTarget,
-                      const finish& /*aFinish*/,
-                      time_point /*aNow*/)
+fifo_policy::OnFinished(request_id /*aId*/,
+                        const target_id& aTarget,
+                        const finish& /*aFinish*/,
+                        time_point /*aNow*/)
 {
   mTargets.ReleaseSlot(aTarget);
   Place();
@@ -145,19 +145,19 @@
 }
 
 void
-direct_policy::TargetUp(const target_state& aTarget, time_point /*aNow*/)
+direct_policy::OnTargetUp(const target_state& aTarget, time_point /*aNow*/)
 {
   mTargets.Add(aTarget);
 }
 
 void
-direct_policy::TargetLeaving(const target_id& aTarget, time_point /*aNow*/)
+direct_policy::OnTargetLeaving(const target_id& aTarget, time_point /*aNow*/)
 {
   mTargets.Remove(aTarget);
 }
 
 void
-direct_policy::Arrive(const arrival& aArrival, time_point /*aNow*/)
+direct_policy::OnArrival(const arrival& aArrival, time_point /*aNow*/)
 {
   const std::size_t drawn = mRandom.Below(mTargets.Size());
   const target_id target = mTargets.At(
@@ -167,10 +167,10 @@
 }
 
 void
-direct_policy::Finished(request_id /*aId*/,
-                        const target_id& aTarget,
-                        const finish& /*aFinish*/,
-                        time_point /*aNow*/)
+direct_policy::OnFinished(request_id /*aId*/,
+                          const target_id& aTarget,
+                          const finish& /*aFinish*/,
+                          time_point /*aNow*/)
 {
   mTargets.ReleaseSlot(aTarget);
 }
@@ -199,38 +199,38 @@
 }
 
 void
-credit_policy::TargetUp(const target_state& aTarget, time_point aNow)
+credit_policy::OnTargetUp(const target_state& aTarget, time_point aNow)
 {
   mTargets.push_back(aTarget);
   Lend(aNow);
 }
 
 void
-credit_policy::TargetLeaving(const target_id& aTarget, time_point aNow)
+credit_policy::OnTargetLeaving(const target_id& aTarget, time_point aNow)
 {
   std::erase_if(mTargets,
                 [&](const auto& aEach) { return aEach.mId == aTarget; });
   for (dispatcher& entry : mEntries) {
-    entry.TargetLeaving(aTarget, aNow);
+    entry.OnTargetLeaving(aTarget, aNow);
   }
 }
 
 void
-credit_policy::Arrive(const arrival& aArrival, time_point aNow)
+credit_policy::OnArrival(const arrival& aArrival, time_point aNow)
 {
   const bool skewed = mRandom.Fraction() < mSkew;
   const std::size_t owner = skewed ? 0 : mRandom.Below(kEntries);
   mOwner[aArrival.mId] = owner;
-  mEntries.at(owner).Arrive(aArrival, aNow);
+  mEntries.at(owner).OnArrival(aArrival, aNow);
 }
 
 void
-credit_policy::Finished(request_id aId,
-                        const target_id& /*aTarget*/,
-                        const finish& aFinish,
-                        time_point aNow)
+credit_policy::OnFinished(request_id aId,
+                          const target_id& /*aTarget*/,
+                          const finish& aFinish,
+                          time_point aNow)
 {
-  mEntries.at(mOwner.at(aId)).Finished(aId, aFinish, aNow);
+  mEntries.at(mOwner.at(aId)).OnFinished(aId, aFinish, aNow);
   mOwner.erase(aId);
 }
 
@@ -297,7 +297,7 @@
     for (std::size_t entry = 0; entry < kEntries; ++entry) {
       target_state part = target;
       part.mSlots = lent.at(entry);
-      mEntries.at(entry).TargetUp(part, aNow);
+      mEntries.at(entry).OnTargetUp(part, aNow);
     }
   }
 }
--- a/bench/traffic_baselines.h
+++ b/bench/traffic_baselines.h
@@ -63,13 +63,13 @@
 class fifo_policy
 {
 public:
-  void TargetUp(const traffic::target_state& aTarget, time_point aNow);
-  void TargetLeaving(const target_id& aTarget, time_point aNow);
-  void Arrive(const traffic::arrival& aArrival, time_point aNow);
-  void Finished(traffic::request_id aId,
-                const target_id& aTarget,
-                const traffic::finish& aFinish,
-                time_point aNow);
+  void OnTargetUp(const traffic::target_state& aTarget, time_point aNow);
+  void OnTargetLeaving(const target_id& aTarget, time_point aNow);
+  void OnArrival(const traffic::arrival& aArrival, time_point aNow);
+  void OnFinished(traffic::request_id aId,
+                  const target_id& aTarget,
+                  const traffic::finish& aFinish,
+                  time_point aNow);
   std::vector<traffic::decision> TakeDecisions();
 
 private:
@@ -89,13 +89,13 @@
     , mRandom(aSeed)
   {
   }
-  void TargetUp(const traffic::target_state& aTarget, time_point aNow);
-  void TargetLeaving(const target_id& aTarget, time_point aNow);
-  void Arrive(const traffic::arrival& aArrival, time_point aNow);
-  void Finished(traffic::request_id aId,
-                const target_id& aTarget,
-                const traffic::finish& aFinish,
-                time_point aNow);
+  void OnTargetUp(const traffic::target_state& aTarget, time_point aNow);
+  void OnTargetLeaving(const target_id& aTarget, time_point aNow);
+  void OnArrival(const traffic::arrival& aArrival, time_point aNow);
+  void OnFinished(traffic::request_id aId,
+                  const target_id& aTarget,
+                  const traffic::finish& aFinish,
+                  time_point aNow);
   std::vector<traffic::decision> TakeDecisions();
 
 private:
@@ -115,13 +115,13 @@
 
   credit_policy(double aSkew, std::uint64_t aSeed);
   void SetPolicy(const traffic::share_policy& aPolicy, time_point aNow);
-  void TargetUp(const traffic::target_state& aTarget, time_point aNow);
-  void TargetLeaving(const target_id& aTarget, time_point aNow);
-  void Arrive(const traffic::arrival& aArrival, time_point aNow);
-  void Finished(traffic::request_id aId,
-                const target_id& aTarget,
-                const traffic::finish& aFinish,
-                time_point aNow);
+  void OnTargetUp(const traffic::target_state& aTarget, time_point aNow);
+  void OnTargetLeaving(const target_id& aTarget, time_point aNow);
+  void OnArrival(const traffic::arrival& aArrival, time_point aNow);
+  void OnFinished(traffic::request_id aId,
+                  const target_id& aTarget,
+                  const traffic::finish& aFinish,
+                  time_point aNow);
   void Tick(time_point aNow);
   [[nodiscard]] std::optional<time_point> NextWake() const;
   std::vector<traffic::decision> TakeDecisions();
--- a/bench/traffic_driver.cc
+++ b/bench/traffic_driver.cc
@@ -227,7 +227,7 @@
                     mScenario.mSlots,
                     60 };
     mTargets.push_back(made);
-    CallPolicy([&](auto& aPolicy) { aPolicy.TargetUp(made.mState, mNow); });
+    CallPolicy([&](auto& aPolicy) { aPolicy.OnTargetUp(made.mState, mNow); });
   }
 }
 
@@ -287,7 +287,7 @@
       return ElectLeader();
     case event_kind::Renew:
       return CallPolicy([&](auto& aPolicy) {
-        aPolicy.TargetUp(mTargets[aEvent.mIndex].mState, mNow);
+        aPolicy.OnTargetUp(mTargets[aEvent.mIndex].mState, mNow);
       });
   }
 }
@@ -371,9 +371,9 @@
   CallPolicy([&](auto& aPolicy) {
     const request_id id(mLastTry[aRequest]);
     if constexpr (std::is_same_v<std::decay_t<decltype(aPolicy)>, dispatcher>) {
-      aPolicy.Finished(id, finish, mNow);
+      aPolicy.OnFinished(id, finish, mNow);
     } else {
-      aPolicy.Finished(id, held, finish, mNow);
+      aPolicy.OnFinished(id, held, finish, mNow);
     }
   });
 }
@@ -413,8 +413,9 @@
       break;
     case target_change::Leave:
       target.mHasLeft = true;
-      CallPolicy(
-        [&](auto& aPolicy) { aPolicy.TargetLeaving(target.mState.mId, mNow); });
+      CallPolicy([&](auto& aPolicy) {
+        aPolicy.OnTargetLeaving(target.mState.mId, mNow);
+      });
       break;
   }
 }
@@ -507,7 +508,7 @@
     data_centre_id(std::to_string(offered.mOrigin)),
     mKind == policy_kind::NoLimit ? mNow + seconds(86400) : offered.mDeadline
   };
-  CallPolicy([&](auto& aPolicy) { aPolicy.Arrive(arrival, mNow); });
+  CallPolicy([&](auto& aPolicy) { aPolicy.OnArrival(arrival, mNow); });
 }
 
 void
--- a/fuzzing/traffic_fuzz.cc
+++ b/fuzzing/traffic_fuzz.cc
@@ -124,7 +124,7 @@
       target.mState = state;
       target.mIsServing = true;
     }
-    mTraffic.TargetUp(state, mNow);
+    mTraffic.OnTargetUp(state, mNow);
   }
 
   void StartTargetLeave()
@@ -133,7 +133,7 @@
     known_target& target = mTargets[id];
     target.mIsLeaving = target.mIsLeaving || target.mIsServing;
     target.mIsServing = false;
-    mTraffic.TargetLeaving(id, mNow);
+    mTraffic.OnTargetLeaving(id, mNow);
   }
 
   void RemoveTarget()
@@ -141,7 +141,7 @@
     const target_id id = PickTarget();
     mTargets[id].mIsServing = false;
     mTargets[id].mIsLeaving = false;
-    mTraffic.TargetGone(id, mNow);
+    mTraffic.OnTargetGone(id, mNow);
   }
 
   void Arrive()
@@ -158,12 +158,12 @@
     made.mDeadline =
       mNow + milliseconds(mData.ConsumeIntegralInRange(-5, 5000));
     mWaiting.emplace(made.mId, made);
-    Require(mTraffic.Arrive(made, mNow), "a new id is accepted");
+    Require(mTraffic.OnArrival(made, mNow), "a new id is accepted");
     CheckDecisions();
     const bool held =
       mWaiting.contains(made.mId) || mRunning.contains(made.mId);
     if (held) {
-      Require(!mTraffic.Arrive(made, mNow), "an id is accepted only once");
+      Require(!mTraffic.OnArrival(made, mNow), "an id is accepted only once");
     }
   }
 
@@ -199,7 +199,7 @@
       --mHeld[{ found->second.mOrganisation, found->second.mClass }];
       mRunning.erase(found);
     }
-    mTraffic.Finished(
+    mTraffic.OnFinished(
       aId,
       { aResult, milliseconds(mData.ConsumeIntegralInRange(0, 3000)) },
       mNow);
--- a/oriolewalk/control/command_events.cc
+++ b/oriolewalk/control/command_events.cc
@@ -49,9 +49,9 @@
       [](const ledger::refusal& aRefusal) -> events {
         return { RequestEvent("not-run", aRefusal.mRef) };
       },
-      [](const ledger::carrier_lost& aLost) -> events {
+      [](const ledger::owner_lost& aLost) -> events {
         return { { .mKind = "entry-lost",
-                   .mDetail = aLost.mCarrier.mInstance.Value() } };
+                   .mDetail = aLost.mOwner.mInstance.Value() } };
       },
     },
     aCommand);
--- a/oriolewalk/control/control_core.cc
+++ b/oriolewalk/control/control_core.cc
@@ -260,9 +260,9 @@
     Live().TargetGone(target, aNow);
     mEvents.push_back({ .mKind = "target-gone", .mTarget = target.Value() });
   }
-  for (const ledger::carrier& carrier :
-       mEntries.Lost(mState.Ledger().Carriers(), aNow)) {
-    Propose(ledger::ledger_command(ledger::carrier_lost{ carrier }), {});
+  for (const ledger::owning_entry& carrier :
+       mEntries.Lost(mState.Ledger().Owners(), aNow)) {
+    Propose(ledger::ledger_command(ledger::owner_lost{ carrier }), {});
   }
   Live().Sweep(aNow);
   Workers().Tick({ aNow, aWallMs });
@@ -284,7 +284,7 @@
   if (!mLeading && leads) {
     mLeadingTerm = mRaft->Term();
     mTargets.Clear();
-    mEntries.Reset(mState.Ledger().Carriers(), aNow);
+    mEntries.Reset(mState.Ledger().Owners(), aNow);
     mLeading = std::make_unique<leading_state>(*this, aNow, aWallMs);
     UsePolicy(aNow);
     mEvents.push_back(
--- a/oriolewalk/control/entry_registry.cc
+++ b/oriolewalk/control/entry_registry.cc
@@ -6,12 +6,12 @@
 namespace oriolewalk::control {
 
 void
-entry_registry::Reset(const std::set<ledger::carrier>& aCarrying,
+entry_registry::Reset(const std::set<ledger::owning_entry>& aCarrying,
                       time_point aNow)
 {
   mEntries.clear();
   mHeardAt.clear();
-  std::ranges::for_each(aCarrying, [&](const ledger::carrier& aCarrier) {
+  std::ranges::for_each(aCarrying, [&](const ledger::owning_entry& aCarrier) {
     mHeardAt.emplace(aCarrier, aNow);
   });
 }
@@ -27,13 +27,15 @@
   mHeardAt[aBeat.mCarrier] = aNow;
 }
 
-std::vector<ledger::carrier>
-entry_registry::Lost(const std::set<ledger::carrier>& aCarrying,
+std::vector<ledger::owning_entry>
+entry_registry::Lost(const std::set<ledger::owning_entry>& aCarrying,
                      time_point aNow)
 {
-  std::vector<ledger::carrier> lost;
+  std::vector<ledger::owning_entry> lost;
   std::ranges::copy_if(
-    aCarrying, std::back_inserter(lost), [&](const ledger::carrier& aCarrier) {
+    aCarrying,
+    std::back_inserter(lost),
+    [&](const ledger::owning_entry& aCarrier) {
       const auto entry = mEntries.find(aCarrier.mInstance);
       const bool replaced = entry != mEntries.end() &&
                             entry->second.mLast.mCarrier.mBoot > aCarrier.mBoot;
--- a/oriolewalk/control/entry_registry.h
+++ b/oriolewalk/control/entry_registry.h
@@ -37,13 +37,13 @@
 class entry_registry
 {
 public:
-  void Reset(const std::set<ledger::carrier>& aCarrying, time_point aNow);
+  void Reset(const std::set<ledger::owning_entry>& aCarrying, time_point aNow);
   // Also for any other message that names its carrier.
   void Heard(const protocol::heartbeat& aBeat, time_point aNow);
   // Carriers of aCarrying that are silent, or whose instance lives on under
   // another boot. Each is returned until the ledger no longer names it.
-  [[nodiscard]] std::vector<ledger::carrier> Lost(
-    const std::set<ledger::carrier>& aCarrying,
+  [[nodiscard]] std::vector<ledger::owning_entry> Lost(
+    const std::set<ledger::owning_entry>& aCarrying,
     time_point aNow);
   [[nodiscard]] const std::map<instance_id, known_entry>& All() const
   {
@@ -52,7 +52,7 @@
 
 private:
   std::map<instance_id, known_entry> mEntries;
-  std::map<ledger::carrier, time_point> mHeardAt;
+  std::map<ledger::owning_entry, time_point> mHeardAt;
 };
 
 } // namespace oriolewalk::control
--- a/oriolewalk/control/live_requests.cc
+++ b/oriolewalk/control/live_requests.cc
@@ -71,7 +71,7 @@
     mRunning.emplace(record.mToken,
                      running_claim{ id,
                                     ref,
-                                    record.mPlacement->mCarrier,
+                                    record.mPlacement->mOwner,
                                     record.mPlacement->mTarget,
                                     aNow + left });
     ++mInProgress[record.mPlacement->mTarget];
@@ -94,24 +94,24 @@
 live_requests::TargetUp(const protocol::target_announcement& aTarget,
                         time_point aNow)
 {
-  mDispatcher.TargetUp({ aTarget.mTarget,
-                         aTarget.mService,
-                         aTarget.mDataCentre,
-                         aTarget.mSlots,
-                         aTarget.mConnections },
-                       aNow);
+  mDispatcher.OnTargetUp({ aTarget.mTarget,
+                           aTarget.mService,
+                           aTarget.mDataCentre,
+                           aTarget.mSlots,
+                           aTarget.mConnections },
+                         aNow);
 }
 
 void
 live_requests::TargetLeaving(const target_id& aTarget, time_point aNow)
 {
-  mDispatcher.TargetLeaving(aTarget, aNow);
+  mDispatcher.OnTargetLeaving(aTarget, aNow);
 }
 
 void
 live_requests::TargetGone(const target_id& aTarget, time_point aNow)
 {
-  mDispatcher.TargetGone(aTarget, aNow);
+  mDispatcher.OnTargetGone(aTarget, aNow);
 }
 
 void
@@ -128,15 +128,15 @@
                    waiting_claim{ aCall, aRequest, id, aNow, deadline });
   mWaitingByRef.emplace(aRequest.mRef, aRequest.mToken);
   mTokens.emplace(id, aRequest.mToken);
-  mDispatcher.Arrive({ id,
-                       aRequest.mService,
-                       aRequest.mRef.mOrganisation,
-                       aRequest.mCallerKey,
-                       aRequest.mClass,
-                       aRequest.mRepeatable,
-                       aRequest.mOrigin,
-                       deadline },
-                     aNow);
+  mDispatcher.OnArrival({ id,
+                          aRequest.mService,
+                          aRequest.mRef.mOrganisation,
+                          aRequest.mCallerKey,
+                          aRequest.mClass,
+                          aRequest.mRepeatable,
+                          aRequest.mOrigin,
+                          deadline },
+                        aNow);
 }
 
 bool
@@ -292,7 +292,7 @@
     waiting.mPlacedAt = aNow;
     return;
   }
-  mDispatcher.Finished(
+  mDispatcher.OnFinished(
     waiting.mId, { traffic::finish_result::NeverStarted, {} }, aNow);
   AnswerBusy(waiting, "control is overloaded", kAskAgain);
   Drop(token);
@@ -362,7 +362,7 @@
     mRunning.emplace(aClaim.mToken,
                      running_claim{ waiting.mId,
                                     aClaim.mRef,
-                                    aClaim.mPlacement.mCarrier,
+                                    aClaim.mPlacement.mOwner,
                                     aClaim.mPlacement.mTarget,
                                     waiting.mDeadline });
     ++mInProgress[aClaim.mPlacement.mTarget];
@@ -373,7 +373,7 @@
     Drop(aClaim.mToken);
     return;
   }
-  mDispatcher.Finished(
+  mDispatcher.OnFinished(
     waiting.mId, { traffic::finish_result::NeverStarted, {} }, aNow);
   if (aOutcome.mVerdict == ledger::verdict::Full) {
     AnswerBusy(waiting, "the request ledger is full", seconds(1));
@@ -440,13 +440,13 @@
 }
 
 void
-live_requests::AppliedOne(const ledger::carrier_lost& aLost,
+live_requests::AppliedOne(const ledger::owner_lost& aLost,
                           const ledger::ledger_outcome& /*aOutcome*/,
                           time_point /*aNow*/)
 {
   ++mCounters.mCarriersLost;
   for (running_claim& running : mRunning | std::views::values) {
-    running.mCarrierLost |= running.mCarrier == aLost.mCarrier;
+    running.mCarrierLost |= running.mCarrier == aLost.mOwner;
   }
 }
 
@@ -459,7 +459,7 @@
   if (found == mRunning.end()) {
     return;
   }
-  mDispatcher.Finished(found->second.mId, aFinish, aNow);
+  mDispatcher.OnFinished(found->second.mId, aFinish, aNow);
   const auto place = mInProgress.find(found->second.mTarget);
   if (--place->second == 0) {
     mInProgress.erase(place);
--- a/oriolewalk/control/live_requests.h
+++ b/oriolewalk/control/live_requests.h
@@ -129,7 +129,7 @@
   {
     traffic::request_id mId;
     ledger::request_ref mRef;
-    ledger::carrier mCarrier;
+    ledger::owning_entry mCarrier;
     target_id mTarget;
     time_point mDeadline;
     bool mCarrierLost = false;
@@ -164,7 +164,7 @@
   void AppliedOne(const ledger::refusal& aRefusal,
                   const ledger::ledger_outcome& aOutcome,
                   time_point aNow);
-  void AppliedOne(const ledger::carrier_lost& aLost,
+  void AppliedOne(const ledger::owner_lost& aLost,
                   const ledger::ledger_outcome& aOutcome,
                   time_point aNow);
   void FreeSlot(token_t aToken,
--- a/oriolewalk/entry/entry_process.cc
+++ b/oriolewalk/entry/entry_process.cc
@@ -131,7 +131,7 @@
 
 private:
   // The wall clock at the start tells one life of an instance from the next.
-  ledger::carrier Carrier()
+  ledger::owning_entry Carrier()
   {
     if (mBoot == 0) {
       mBoot = static_cast<std::uint64_t>(WallMilliseconds());
--- a/oriolewalk/entry/http_front.h
+++ b/oriolewalk/entry/http_front.h
@@ -18,7 +18,7 @@
 
 struct front_identity
 {
-  ledger::carrier mCarrier;
+  ledger::owning_entry mCarrier;
   data_centre_id mDataCentre;
 };
 
--- a/oriolewalk/entry/live_call.cc
+++ b/oriolewalk/entry/live_call.cc
@@ -29,7 +29,7 @@
 {
   constexpr double kFirstLimit = 512;
   traffic::entry_options options;
-  options.mFirstLimit = kFirstLimit;
+  options.mInitialLimit = kFirstLimit;
   return options;
 }
 
@@ -67,21 +67,21 @@
                         time_point aNow)
 {
   const std::lock_guard lock(mMutex);
-  mLimiter.Finished(ToLimiter(aClaim), aCall, aNow);
+  mLimiter.OnFinished(ToLimiter(aClaim), aCall, aNow);
 }
 
 void
 shared_limits::Succeeded(const service_id& aService)
 {
   const std::lock_guard lock(mMutex);
-  mBudgets[aService].Succeeded();
+  mBudgets[aService].OnSuccess();
 }
 
 bool
 shared_limits::SpendRetry(const service_id& aService, time_point aNow)
 {
   const std::lock_guard lock(mMutex);
-  return mBudgets[aService].Spend(aNow);
+  return mBudgets[aService].TrySpend(aNow);
 }
 
 std::size_t
--- a/oriolewalk/ledger/records.h
+++ b/oriolewalk/ledger/records.h
@@ -46,12 +46,12 @@
 };
 
 // The entry process that carries a request: an instance and one life of it.
-struct carrier
+struct owning_entry
 {
   instance_id mInstance;
   std::uint64_t mBoot = 0;
 
-  auto operator<=>(const carrier&) const = default;
+  auto operator<=>(const owning_entry&) const = default;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
@@ -63,7 +63,7 @@
 // Who sends an attempt, and where to.
 struct placement
 {
-  carrier mCarrier;
+  owning_entry mOwner;
   service_id mService;
   target_id mTarget;
   // Where the target was when it was chosen: a grant that is asked for again
@@ -73,7 +73,7 @@
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mCarrier, mService, mTarget, mAddress);
+    aArchive(mOwner, mService, mTarget, mAddress);
   }
 };
 
@@ -145,18 +145,18 @@
 };
 
 // The carrier is gone: what it carried may have run, nobody will tell.
-struct carrier_lost
+struct owner_lost
 {
-  carrier mCarrier;
+  owning_entry mOwner;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mCarrier);
+    aArchive(mOwner);
   }
 };
 
-using ledger_command = std::variant<claim, finish, refusal, carrier_lost>;
+using ledger_command = std::variant<claim, finish, refusal, owner_lost>;
 
 enum class request_state : std::uint8_t
 {
--- a/oriolewalk/ledger/request_ledger.cc
+++ b/oriolewalk/ledger/request_ledger.cc
@@ -66,13 +66,13 @@
   return running;
 }
 
-std::set<carrier>
-request_ledger::Carriers() const
+std::set<owning_entry>
+request_ledger::Owners() const
 {
-  std::set<carrier> carriers;
+  std::set<owning_entry> owners;
   std::ranges::copy(mRunning | std::views::keys,
-                    std::inserter(carriers, carriers.end()));
-  return carriers;
+                    std::inserter(owners, owners.end()));
+  return owners;
 }
 
 ledger_outcome
@@ -122,7 +122,7 @@
   aRecord.mDeadlineWallMs = aClaim.mDeadlineWallMs;
   aRecord.mToken = aClaim.mToken;
   aRecord.mPlacement = std::make_shared<placement>(aClaim.mPlacement);
-  mRunning[aClaim.mPlacement.mCarrier].insert(aClaim.mRef);
+  mRunning[aClaim.mPlacement.mOwner].insert(aClaim.mRef);
 }
 
 ledger_outcome
@@ -193,9 +193,9 @@
 }
 
 ledger_outcome
-request_ledger::ApplyOne(const carrier_lost& aLost)
+request_ledger::ApplyOne(const owner_lost& aLost)
 {
-  const auto found = mRunning.find(aLost.mCarrier);
+  const auto found = mRunning.find(aLost.mOwner);
   if (found == mRunning.end()) {
     return { verdict::Recorded, 0, std::nullopt };
   }
@@ -213,7 +213,7 @@
   const request_ref& ref = aWhere->first;
   request_record& record = aWhere->second;
   if (record.mPlacement) {
-    const auto running = mRunning.find(record.mPlacement->mCarrier);
+    const auto running = mRunning.find(record.mPlacement->mOwner);
     running->second.erase(ref);
     if (running->second.empty()) {
       mRunning.erase(running);
@@ -332,7 +332,7 @@
   }
   for (const auto& [ref, record] : mRecords) {
     if (record.mPlacement) {
-      mRunning[record.mPlacement->mCarrier].insert(ref);
+      mRunning[record.mPlacement->mOwner].insert(ref);
     }
     mAnswerBytes += AnswerCost(record);
   }
--- a/oriolewalk/ledger/request_ledger.h
+++ b/oriolewalk/ledger/request_ledger.h
@@ -102,7 +102,7 @@
   };
   // In the order of their keys.
   [[nodiscard]] std::vector<running_request> Running() const;
-  [[nodiscard]] std::set<carrier> Carriers() const;
+  [[nodiscard]] std::set<owning_entry> Owners() const;
 
   [[nodiscard]] std::size_t Size() const { return mRecords.size(); }
   [[nodiscard]] std::size_t AnswerBytes() const { return mAnswerBytes; }
@@ -128,7 +128,7 @@
   ledger_outcome ApplyOne(const claim& aClaim);
   ledger_outcome ApplyOne(const finish& aFinish);
   ledger_outcome ApplyOne(const refusal& aRefusal);
-  ledger_outcome ApplyOne(const carrier_lost& aLost);
+  ledger_outcome ApplyOne(const owner_lost& aLost);
 
   ledger_outcome ClaimKnown(request_record& aRecord, const claim& aClaim);
   void Start(request_record& aRecord, const claim& aClaim);
@@ -150,7 +150,7 @@
   std::deque<request_ref> mAnswered; // oldest kept answer first
   std::int64_t mLastWallMs = 0;      // never falls, whatever the clocks do
   // Derived.
-  std::map<carrier, std::set<request_ref>> mRunning;
+  std::map<owning_entry, std::set<request_ref>> mRunning;
   std::size_t mAnswerBytes = 0;
 };
 
--- a/oriolewalk/protocol/messages.h
+++ b/oriolewalk/protocol/messages.h
@@ -27,7 +27,7 @@
 // is held until there is a newer version, or for kHeartbeatHold.
 struct heartbeat
 {
-  ledger::carrier mCarrier;
+  ledger::owning_entry mCarrier;
   std::string mAddress; // where it takes callers, for status pages
   data_centre_id mDataCentre;
   std::uint64_t mWeightsVersion = 0;
@@ -62,7 +62,7 @@
 {
   ledger::request_ref mRef;
   std::uint64_t mFingerprint = 0;
-  ledger::carrier mCarrier;
+  ledger::owning_entry mCarrier;
   std::uint64_t mToken = 0;
   service_id mService;
   std::string mCallerKey; // shares the organisation's share fairly
--- a/oriolewalk/traffic/dispatcher.cc
+++ b/oriolewalk/traffic/dispatcher.cc
@@ -52,11 +52,11 @@
 }
 
 void
-dispatcher::TargetUp(const target_state& aTarget, time_point aNow)
+dispatcher::OnTargetUp(const target_state& aTarget, time_point aNow)
 {
   const auto known = mTargets.find(aTarget.mId);
   if (known != mTargets.end() && known->second->Service() != aTarget.mService) {
-    TargetGone(aTarget.mId, aNow);
+    OnTargetGone(aTarget.mId, aNow);
   }
   service_pool& pool = MakePool(aTarget.mService);
   mTargets[aTarget.mId] = &pool;
@@ -65,7 +65,7 @@
 }
 
 void
-dispatcher::TargetLeaving(const target_id& aTarget, time_point aNow)
+dispatcher::OnTargetLeaving(const target_id& aTarget, time_point aNow)
 {
   const auto known = mTargets.find(aTarget);
   if (known != mTargets.end()) {
@@ -75,7 +75,7 @@
 }
 
 void
-dispatcher::TargetGone(const target_id& aTarget, time_point aNow)
+dispatcher::OnTargetGone(const target_id& aTarget, time_point aNow)
 {
   const auto known = mTargets.find(aTarget);
   if (known == mTargets.end()) {
@@ -88,7 +88,7 @@
 }
 
 bool
-dispatcher::Arrive(const arrival& aArrival, time_point aNow)
+dispatcher::OnArrival(const arrival& aArrival, time_point aNow)
 {
   if (mRequests.contains(aArrival.mId)) {
     return false;
@@ -134,7 +134,7 @@
 }
 
 void
-dispatcher::Finished(request_id aId, const finish& aFinish, time_point aNow)
+dispatcher::OnFinished(request_id aId, const finish& aFinish, time_point aNow)
 {
   const auto known = mRequests.find(aId);
   if (known == mRequests.end() || !known->second->IsRunning(aId)) {
--- a/oriolewalk/traffic/dispatcher.h
+++ b/oriolewalk/traffic/dispatcher.h
@@ -52,15 +52,15 @@
   // Announced or renewed; the same again changes nothing. Ends "leaving" only
   // after TargetGone: a renewal that was under way when the target said that
   // it leaves must not bring it back.
-  void TargetUp(const target_state& aTarget, time_point aNow);
+  void OnTargetUp(const target_state& aTarget, time_point aNow);
   // Nothing new goes there; what is in progress goes on.
-  void TargetLeaving(const target_id& aTarget, time_point aNow);
+  void OnTargetLeaving(const target_id& aTarget, time_point aNow);
   // Its lease lapsed, or it left. Attempts in progress hold their slots until
   // Finished, also if the target announces itself again.
-  void TargetGone(const target_id& aTarget, time_point aNow);
+  void OnTargetGone(const target_id& aTarget, time_point aNow);
 
   // False, and nothing happens, if the id is waiting or running already.
-  bool Arrive(const arrival& aArrival, time_point aNow);
+  bool OnArrival(const arrival& aArrival, time_point aNow);
   // The caller hung up. True if the request was waiting: it left its queue and
   // gets no decision. False if it is not waiting: an attempt in progress
   // cannot be taken back, and goes on.
@@ -68,7 +68,7 @@
   // An attempt that runs already holds its slot from now on.
   void Restore(const running_attempt& aAttempt, time_point aNow);
   // Frees the slot. Ids that hold none are ignored.
-  void Finished(request_id aId, const finish& aFinish, time_point aNow);
+  void OnFinished(request_id aId, const finish& aFinish, time_point aNow);
 
   void Tick(time_point aNow);
   // When Tick has something to do; nothing if only an event can change things.
--- a/oriolewalk/traffic/entry_limiter.cc
+++ b/oriolewalk/traffic/entry_limiter.cc
@@ -24,7 +24,7 @@
 entry_limiter::entry_limiter(const entry_options& aOptions, std::uint64_t aSeed)
   : mOptions(aOptions)
   , mRandom(aSeed)
-  , mLimit(aOptions.mFirstLimit)
+  , mLimit(aOptions.mInitialLimit)
 {
 }
 
@@ -62,9 +62,9 @@
 }
 
 void
-entry_limiter::Finished(const entry_request& aRequest,
-                        const control_call& aCall,
-                        time_point aNow)
+entry_limiter::OnFinished(const entry_request& aRequest,
+                          const control_call& aCall,
+                          time_point aNow)
 {
   auto& calls = mCalls.at(IndexOf(aRequest.mClass));
   const auto found = calls.find(aRequest.mOrganisation);
--- a/oriolewalk/traffic/entry_limiter.h
+++ b/oriolewalk/traffic/entry_limiter.h
@@ -44,7 +44,7 @@
 
 struct entry_options
 {
-  double mFirstLimit = 64;
+  double mInitialLimit = 64;
   double mMinLimit = 4;
   double mMaxLimit = 2048;
   // Latency of control (without the time a request waits in its queues) over
@@ -96,9 +96,9 @@
   void SetPolicy(const share_policy& aPolicy);
   // If nothing is refused, the call counts as in progress until Finished.
   entry_verdict Admit(const entry_request& aRequest, time_point aNow);
-  void Finished(const entry_request& aRequest,
-                const control_call& aCall,
-                time_point aNow);
+  void OnFinished(const entry_request& aRequest,
+                  const control_call& aCall,
+                  time_point aNow);
   [[nodiscard]] double Limit() const { return mLimit; }
   [[nodiscard]] std::size_t InProgress() const { return mInProgress; }
   [[nodiscard]] std::size_t Callers() const { return mCallers.size(); }
--- a/oriolewalk/traffic/retry_budget.cc
+++ b/oriolewalk/traffic/retry_budget.cc
@@ -30,13 +30,13 @@
 }
 
 void
-retry_budget::Succeeded()
+retry_budget::OnSuccess()
 {
   mTokens = std::min(mTokens + mOptions.mShareOfSuccesses, mOptions.mMaxTokens);
 }
 
 bool
-retry_budget::Spend(time_point aNow)
+retry_budget::TrySpend(time_point aNow)
 {
   mTokens = Available(aNow);
   mAt = std::max(mAt, aNow);
--- a/oriolewalk/traffic/retry_budget.h
+++ b/oriolewalk/traffic/retry_budget.h
@@ -42,9 +42,9 @@
 {
 public:
   explicit retry_budget(const retry_options& aOptions = {});
-  void Succeeded();
+  void OnSuccess();
   // True if a retry may be made; it is then counted.
-  [[nodiscard]] bool Spend(time_point aNow);
+  [[nodiscard]] bool TrySpend(time_point aNow);
   [[nodiscard]] double Available(time_point aNow) const;
 
 private:
--- a/testing/control/registries_test.cc
+++ b/testing/control/registries_test.cc
@@ -60,7 +60,7 @@
 TEST_CASE("a carrier is lost when it is silent or lives under another boot")
 {
   entry_registry entries;
-  const std::set<ledger::carrier> carrying = { { instance_id("e1"), 1 } };
+  const std::set<ledger::owning_entry> carrying = { { instance_id("e1"), 1 } };
   entries.Reset(carrying, kStart);
   CHECK(entries.Lost(carrying, kStart + kCarrierGrace - seconds(1)).empty());
   entries.Heard(Beat(1), kStart + seconds(3));
--- a/testing/ledger/request_ledger_test.cc
+++ b/testing/ledger/request_ledger_test.cc
@@ -25,7 +25,7 @@
   claim made;
   made.mRef = Ref(aKey);
   made.mFingerprint = kWork;
-  made.mPlacement.mCarrier = { instance_id(aInstance), 1 };
+  made.mPlacement.mOwner = { instance_id(aInstance), 1 };
   made.mToken = aToken;
   made.mPlacement.mTarget = target_id("t-" + aInstance);
   return made;
@@ -123,7 +123,7 @@
   request_ledger ledger;
   ledger.Apply(Claim("k"), kStart);
   ledger.Apply(Claim("other", 1, "e2"), kStart);
-  ledger.Apply(carrier_lost{ { instance_id("e1"), 1 } }, kStart);
+  ledger.Apply(owner_lost{ { instance_id("e1"), 1 } }, kStart);
   const auto resend = ledger.Apply(Claim("k", 5, "e2"), kStart);
   REQUIRE(resend.mVerdict == verdict::Known);
   CHECK(resend.mRecord->mState == request_state::Unknown);
@@ -202,7 +202,7 @@
   REQUIRE(copy);
   CHECK(copy->AnswerBytes() == ledger.AnswerBytes());
   CHECK(copy->Running().size() == 1);
-  copy->Apply(carrier_lost{ { instance_id("e1"), 1 } }, kStart);
+  copy->Apply(owner_lost{ { instance_id("e1"), 1 } }, kStart);
   CHECK(copy->Find(Ref("runs"))->mState == request_state::Unknown);
 }
 
--- a/testing/system/fake_cell.h
+++ b/testing/system/fake_cell.h
@@ -152,7 +152,7 @@
   };
   struct fake_entry
   {
-    ledger::carrier mCarrier;
+    ledger::owning_entry mCarrier;
     bool mUp = true;
     bool mPaused = false;
     std::uint64_t mVersion = 0;
--- a/testing/traffic/dispatcher_test.cc
+++ b/testing/traffic/dispatcher_test.cc
@@ -49,12 +49,12 @@
 TEST_CASE("slots are never exceeded, and a finished attempt frees its slot")
 {
   dispatcher traffic({}, kSeed);
-  traffic.TargetUp(Target("t1", 2), kStart);
+  traffic.OnTargetUp(Target("t1", 2), kStart);
   for (std::uint64_t number = 1; number <= 3; ++number) {
-    traffic.Arrive(Request(number), kStart);
+    traffic.OnArrival(Request(number), kStart);
   }
   CHECK(Only<dispatch>(traffic.TakeDecisions()).size() == 2);
-  traffic.Finished(request_id(1), { finish_result::Answered, {} }, kStart);
+  traffic.OnFinished(request_id(1), { finish_result::Answered, {} }, kStart);
   const auto next = Only<dispatch>(traffic.TakeDecisions());
   REQUIRE(next.size() == 1);
   CHECK(next.front().mId == request_id(3));
@@ -65,9 +65,9 @@
   dispatcher traffic({}, kSeed);
   target_state target = Target("t1", 8);
   target.mConnections = 3;
-  traffic.TargetUp(target, kStart);
+  traffic.OnTargetUp(target, kStart);
   for (std::uint64_t number = 1; number <= 8; ++number) {
-    traffic.Arrive(Request(number), kStart);
+    traffic.OnArrival(Request(number), kStart);
   }
   CHECK(Only<dispatch>(traffic.TakeDecisions()).size() == 3);
 }
@@ -78,12 +78,12 @@
   // arrives afterwards. If the renewal counted as a new announcement, requests
   // would go to a process that is about to end.
   dispatcher traffic({}, kSeed);
-  traffic.TargetUp(Target("t1", 1), kStart);
-  traffic.TargetUp(Target("t2", 1), kStart);
-  traffic.TargetLeaving(target_id("t1"), kStart);
-  traffic.TargetUp(Target("t1", 1), kStart);
+  traffic.OnTargetUp(Target("t1", 1), kStart);
+  traffic.OnTargetUp(Target("t2", 1), kStart);
+  traffic.OnTargetLeaving(target_id("t1"), kStart);
+  traffic.OnTargetUp(Target("t1", 1), kStart);
   for (std::uint64_t number = 1; number <= 4; ++number) {
-    traffic.Arrive(Request(number), kStart);
+    traffic.OnArrival(Request(number), kStart);
   }
   for (const dispatch& each : Only<dispatch>(traffic.TakeDecisions())) {
     CHECK(each.mTarget == target_id("t2"));
@@ -99,11 +99,11 @@
   traffic.Restore(
     { request_id(1), kFees, target_id("t1"), kTaksa, work_class::Normal },
     kStart);
-  traffic.TargetUp(Target("t1", 2), kStart);
-  traffic.Arrive(Request(2), kStart);
-  traffic.Arrive(Request(3), kStart);
+  traffic.OnTargetUp(Target("t1", 2), kStart);
+  traffic.OnArrival(Request(2), kStart);
+  traffic.OnArrival(Request(3), kStart);
   CHECK(Only<dispatch>(traffic.TakeDecisions()).size() == 1);
-  traffic.Finished(
+  traffic.OnFinished(
     request_id(1), { finish_result::Answered, milliseconds(1) }, kStart);
   CHECK(Only<dispatch>(traffic.TakeDecisions()).size() == 1);
 }
@@ -111,38 +111,38 @@
 TEST_CASE("a target that returns still holds the slots of its old attempts")
 {
   dispatcher traffic({}, kSeed);
-  traffic.TargetUp(Target("t1", 1), kStart);
-  traffic.Arrive(Request(1), kStart);
-  traffic.TargetGone(target_id("t1"), kStart);
-  traffic.TargetUp(Target("t1", 1), kStart);
+  traffic.OnTargetUp(Target("t1", 1), kStart);
+  traffic.OnArrival(Request(1), kStart);
+  traffic.OnTargetGone(target_id("t1"), kStart);
+  traffic.OnTargetUp(Target("t1", 1), kStart);
   traffic.TakeDecisions();
-  traffic.Arrive(Request(2), kStart);
+  traffic.OnArrival(Request(2), kStart);
   CHECK(traffic.TakeDecisions().empty());
-  traffic.Finished(request_id(1), { finish_result::Unknown, {} }, kStart);
+  traffic.OnFinished(request_id(1), { finish_result::Unknown, {} }, kStart);
   CHECK(Only<dispatch>(traffic.TakeDecisions()).size() == 1);
 }
 
 TEST_CASE("cancelling removes a waiting request but no running attempt")
 {
   dispatcher traffic({}, kSeed);
-  traffic.TargetUp(Target("t1", 1), kStart);
-  traffic.Arrive(Request(1), kStart);
-  traffic.Arrive(Request(2), kStart);
+  traffic.OnTargetUp(Target("t1", 1), kStart);
+  traffic.OnArrival(Request(1), kStart);
+  traffic.OnArrival(Request(2), kStart);
   traffic.TakeDecisions();
   CHECK(traffic.Cancel(request_id(2), kStart));
   CHECK_FALSE(traffic.Cancel(request_id(1), kStart));
-  traffic.Finished(request_id(1), { finish_result::Answered, {} }, kStart);
+  traffic.OnFinished(request_id(1), { finish_result::Answered, {} }, kStart);
   CHECK(traffic.TakeDecisions().empty());
 }
 
 TEST_CASE("when the last target leaves, all waiting requests are refused")
 {
   dispatcher traffic({}, kSeed);
-  traffic.TargetUp(Target("t1", 1), kStart);
-  traffic.Arrive(Request(1), kStart);
-  traffic.Arrive(Request(2), kStart);
+  traffic.OnTargetUp(Target("t1", 1), kStart);
+  traffic.OnArrival(Request(1), kStart);
+  traffic.OnArrival(Request(2), kStart);
   traffic.TakeDecisions();
-  traffic.TargetLeaving(target_id("t1"), kStart);
+  traffic.OnTargetLeaving(target_id("t1"), kStart);
   const auto refused = Only<refuse>(traffic.TakeDecisions());
   REQUIRE(refused.size() == 1);
   CHECK(refused.front().mReason == refusal::NoTarget);
@@ -154,13 +154,13 @@
   // Callers' requests reach the new leader before the targets' next renewal.
   // Refusing them would turn each leader change into a wave of refusals.
   dispatcher traffic({}, kSeed);
-  traffic.Arrive(Request(1), kStart);
+  traffic.OnArrival(Request(1), kStart);
   CHECK(traffic.TakeDecisions().empty());
-  traffic.TargetUp(Target("t1", 1), kStart + milliseconds(500));
+  traffic.OnTargetUp(Target("t1", 1), kStart + milliseconds(500));
   CHECK(Only<dispatch>(traffic.TakeDecisions()).size() == 1);
 
   dispatcher withoutTargets({}, kSeed);
-  withoutTargets.Arrive(Request(1), kStart);
+  withoutTargets.OnArrival(Request(1), kStart);
   withoutTargets.Tick(kStart + seconds(2));
   CHECK(Only<refuse>(withoutTargets.TakeDecisions()).size() == 1);
 }
@@ -168,16 +168,16 @@
 TEST_CASE("an expired request is refused at its deadline and never dispatched")
 {
   dispatcher traffic({}, kSeed);
-  traffic.TargetUp(Target("t1", 1), kStart);
-  traffic.Arrive(Request(1), kStart);
+  traffic.OnTargetUp(Target("t1", 1), kStart);
+  traffic.OnArrival(Request(1), kStart);
   arrival late = Request(2);
   late.mDeadline = kStart + milliseconds(30);
-  traffic.Arrive(late, kStart);
+  traffic.OnArrival(late, kStart);
   traffic.TakeDecisions();
   REQUIRE(traffic.NextWake());
-  traffic.Finished(request_id(1),
-                   { finish_result::Answered, milliseconds(30) },
-                   kStart + milliseconds(30));
+  traffic.OnFinished(request_id(1),
+                     { finish_result::Answered, milliseconds(30) },
+                     kStart + milliseconds(30));
   const auto decided = traffic.TakeDecisions();
   CHECK(Only<dispatch>(decided).empty());
   REQUIRE(Only<refuse>(decided).size() == 1);
@@ -190,9 +190,9 @@
   share_policy policy;
   policy.Set(kTaksa, work_class::Normal, { .mMaxSlots = 2, .mMaxWaiting = 1 });
   traffic.SetPolicy(policy, kStart);
-  traffic.TargetUp(Target("t1", 8), kStart);
+  traffic.OnTargetUp(Target("t1", 8), kStart);
   for (std::uint64_t number = 1; number <= 4; ++number) {
-    traffic.Arrive(Request(number), kStart);
+    traffic.OnArrival(Request(number), kStart);
   }
   auto decided = traffic.TakeDecisions();
   CHECK(Only<dispatch>(decided).size() == 2);
@@ -200,7 +200,7 @@
   CHECK(Only<refuse>(decided).front().mReason == refusal::LimitReached);
   arrival other = Request(5);
   other.mOrganisation = organisation_id("other");
-  traffic.Arrive(other, kStart);
+  traffic.OnArrival(other, kStart);
   CHECK(Only<dispatch>(traffic.TakeDecisions()).size() == 1);
 
   policy.Set(
@@ -208,7 +208,7 @@
   traffic.SetPolicy(policy, kStart);
   traffic.TakeDecisions();
   for (std::uint64_t number = 10; number < 13; ++number) {
-    traffic.Arrive(Request(number), kStart);
+    traffic.OnArrival(Request(number), kStart);
   }
   decided = traffic.TakeDecisions();
   CHECK(Only<dispatch>(decided).size() == 2);
@@ -224,8 +224,8 @@
     share_policy policy;
     policy.Set(kTaksa, work_class::Normal, aRule);
     traffic.SetPolicy(policy, kStart);
-    traffic.TargetUp(Target("t1", 8), kStart);
-    traffic.Arrive(Request(1), kStart);
+    traffic.OnTargetUp(Target("t1", 8), kStart);
+    traffic.OnArrival(Request(1), kStart);
     const auto refused = Only<refuse>(traffic.TakeDecisions());
     return refused.size() == 1 &&
            refused.front().mReason == refusal::LimitReached;
@@ -238,9 +238,9 @@
 TEST_CASE("a policy that blocks an organisation refuses its waiting requests")
 {
   dispatcher traffic({}, kSeed);
-  traffic.TargetUp(Target("t1", 1), kStart);
-  traffic.Arrive(Request(1), kStart);
-  traffic.Arrive(Request(2), kStart);
+  traffic.OnTargetUp(Target("t1", 1), kStart);
+  traffic.OnArrival(Request(1), kStart);
+  traffic.OnArrival(Request(2), kStart);
   traffic.TakeDecisions();
   share_policy policy;
   policy.Set(kTaksa, work_class::Normal, { .mMaxSlots = 0 });
@@ -256,9 +256,9 @@
   share_policy policy;
   policy.Set(kTaksa, work_class::Normal, { .mMaxWaiting = 0 });
   traffic.SetPolicy(policy, kStart);
-  traffic.TargetUp(Target("t1", 1), kStart);
-  traffic.Arrive(Request(1), kStart);
-  traffic.Arrive(Request(2), kStart);
+  traffic.OnTargetUp(Target("t1", 1), kStart);
+  traffic.OnArrival(Request(1), kStart);
+  traffic.OnArrival(Request(2), kStart);
   const auto decided = traffic.TakeDecisions();
   CHECK(Only<dispatch>(decided).size() == 1);
   CHECK(Only<refuse>(decided).size() == 1);
--- a/testing/traffic/entry_limiter_test.cc
+++ b/testing/traffic/entry_limiter_test.cc
@@ -88,7 +88,7 @@
   time_point now = kStart;
   const auto call = [&](const control_call& aCall) {
     limiter.Admit(request, now);
-    limiter.Finished(request, aCall, now);
+    limiter.OnFinished(request, aCall, now);
     now += milliseconds(200);
   };
   const double before = limiter.Limit();
@@ -100,7 +100,7 @@
   for (int step = 0; step < 100; ++step) {
     const int filled = Fill(limiter, request);
     for (int each = 0; each < filled; ++each) {
-      limiter.Finished(request, { call_result::Accepted, {} }, now);
+      limiter.OnFinished(request, { call_result::Accepted, {} }, now);
     }
   }
   CHECK(limiter.Limit() > before);
@@ -120,13 +120,14 @@
     const time_point now = kStart + milliseconds(step);
     if (Admitted(limiter, hot, now)) {
       ++hotSent;
-      limiter.Finished(hot, { call_result::Refused, milliseconds(1) }, now);
+      limiter.OnFinished(hot, { call_result::Refused, milliseconds(1) }, now);
     }
     if (step % 10 == 0) {
       if (!Admitted(limiter, calm, now)) {
         ++calmRefused;
       } else {
-        limiter.Finished(calm, { call_result::Accepted, milliseconds(1) }, now);
+        limiter.OnFinished(
+          calm, { call_result::Accepted, milliseconds(1) }, now);
       }
     }
   }
@@ -161,7 +162,7 @@
     for (int served = 0; served < 2 && !control.empty(); ++served) {
       const auto [request, since] = control.front();
       control.pop_front();
-      limiter.Finished(request, { call_result::Accepted, now - since }, now);
+      limiter.OnFinished(request, { call_result::Accepted, now - since }, now);
       urgentQuick +=
         request.mClass == work_class::Urgent && now - since < milliseconds(100)
           ? 1
@@ -180,7 +181,7 @@
     const std::string name = std::to_string(caller);
     const entry_request request = From(kTaksa, work_class::Urgent, name);
     limiter.Admit(request, kStart);
-    limiter.Finished(request, { call_result::Accepted, {} }, kStart);
+    limiter.OnFinished(request, { call_result::Accepted, {} }, kStart);
   }
   CHECK(limiter.Callers() <= entry_limiter::kMaxCallers);
   CHECK(limiter.InProgress() == 0);
--- a/testing/traffic/retry_test.cc
+++ b/testing/traffic/retry_test.cc
@@ -28,16 +28,16 @@
   const time_point now{ seconds(100) };
   retry_budget budget;
   for (int success = 0; success < 500; ++success) {
-    budget.Succeeded();
+    budget.OnSuccess();
   }
   int spent = 0;
-  while (budget.Spend(now)) {
+  while (budget.TrySpend(now)) {
     ++spent;
   }
   CHECK(spent >= 50);
   CHECK(spent <= 51);
-  CHECK_FALSE(budget.Spend(now + seconds(1)));
-  CHECK(budget.Spend(now + seconds(3)));
+  CHECK_FALSE(budget.TrySpend(now + seconds(1)));
+  CHECK(budget.TrySpend(now + seconds(3)));
 }
 
 } // namespace
