--- a/oriolewalk/ledger/records.h
+++ b/oriolewalk/ledger/records.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The records of the request ledger: what goes into the log (commands) and
-// what is kept by key (request_record).
+// The records of the request ledger: the commands that go into the log, and the
+// request_record that is stored for each key.
 
 #include <compare>
 #include <cstddef>
@@ -18,15 +18,15 @@
 
 namespace oriolewalk::ledger {
 
-// One piece of work as its caller names it: the key is unique within the
-// organisation.
+// Identifies one piece of work as its caller names it. The key is unique within
+// the organisation.
 struct request_ref
 {
   organisation_id mOrganisation;
   request_key mKey;
 
   auto operator<=>(const request_ref&) const = default;
-  // "ORGANISATION/KEY", as targets and the time line see it.
+  // "ORGANISATION/KEY", the form that targets and the time line use.
   [[nodiscard]] std::string ToString() const;
 
   template<class Archive>
@@ -45,7 +45,7 @@
   }
 };
 
-// The entry process that carries a request: an instance and one life of it.
+// The entry process that owns a request: an instance and its incarnation.
 struct owning_entry
 {
   instance_id mInstance;
@@ -60,13 +60,13 @@
   }
 };
 
-// Who sends an attempt, and where to.
+// The owner that sends an attempt, and the target of the attempt.
 struct placement
 {
   owning_entry mOwner;
   service_id mService;
   target_id mTarget;
-  // Where the target was when it was chosen: a grant that is asked for again
+  // The target's address when it was chosen: a grant that is requested again
   // from a new leader must not wait for the target's next renewal.
   std::string mAddress;
 
@@ -77,18 +77,19 @@
   }
 };
 
-// "This key runs on this target now." Committed before anything is sent.
+// States that the key runs on the target now. Committed before anything is
+// sent to the target.
 struct claim
 {
   request_ref mRef;
   // Hash of method, path, class and body: the same key must mean the same work.
   std::uint64_t mFingerprint = 0;
   placement mPlacement;
-  // Made by the carrier for each claim that it makes, unique among all
-  // carriers (random): a claim sent again after a lost answer bears the same
-  // token, and gets the same grant.
+  // Chosen at random by the owner for each claim, and unique among all owners.
+  // A claim that is sent again after a lost answer has the same token and gets
+  // the same grant.
   std::uint64_t mToken = 0;
-  std::uint8_t mClass = 0; // the proposer's enumeration; opaque here
+  std::uint8_t mClass = 0; // the proposer's enumeration, opaque to the ledger
   bool mRepeatable = false;
   std::int64_t mDeadlineWallMs = 0;
 
@@ -107,22 +108,22 @@
 
 enum class attempt_result : std::uint8_t
 {
-  Answered,   // The target's whole answer is here.
-  NotStarted, // Surely not begun: not one byte reached the target.
-  Unknown,    // Sent, but no whole answer: it may have run.
+  Answered,   // The target's complete answer is known.
+  NotStarted, // Not one byte reached the target.
+  Unknown,    // Sent without a complete answer: it may have run.
 };
 
-// How the attempt that was granted to mToken ended, told by its carrier. The
-// token names the attempt, since a carrier whose grant was lost on the way has
-// to give it back without knowing its number.
+// The owner's report of how the attempt that was granted to mToken ended. The
+// token names the attempt, because an owner whose grant was lost in transit has
+// to return it without knowing the attempt's number.
 struct finish
 {
   request_ref mRef;
   std::uint64_t mToken = 0;
   attempt_result mResult = attempt_result::Unknown;
   std::uint16_t mStatus = 0; // HTTP status of the answer
-  bool mAnswerKept = false;  // false where the answer was too large to keep
-  bytes mAnswer;             // empty unless kept
+  bool mAnswerKept = false;  // false if the answer was too large to store
+  bytes mAnswer;             // empty if it is not stored
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
@@ -131,7 +132,7 @@
   }
 };
 
-// Tombstone: this key did not run and never will.
+// A tombstone: the key did not run and never will.
 struct refusal
 {
   request_ref mRef;
@@ -144,7 +145,8 @@
   }
 };
 
-// The carrier is gone: what it carried may have run, nobody will tell.
+// The owner is gone: the requests that it owned may have run, and no report of
+// them will come.
 struct owner_lost
 {
   owning_entry mOwner;
@@ -161,14 +163,15 @@
 enum class request_state : std::uint8_t
 {
   Running,   // An attempt is claimed and not known to have ended.
-  Ready,     // The last attempt surely did not start; may be claimed again.
+  Ready,     // The last attempt did not start; the key may be claimed again.
   Completed, // Final.
   NotRun,    // Final: a tombstone.
-  Unknown,   // May have run; ends if the carrier turns up and tells.
+  Unknown,   // May have run. Ends if the owner comes back and reports.
 };
 
-// Kept for every key of the window, so it is small: who carries a running
-// attempt and a kept answer stand apart, and most records have neither.
+// Stored for every key of the window, so it is small. The placement of a
+// running attempt and a stored answer are allocated separately, because most
+// records have neither.
 struct request_record
 {
   request_state mState = request_state::Running;
@@ -178,10 +181,10 @@
   std::uint32_t mAttempt = 0;
   std::uint64_t mFingerprint = 0;
   std::uint64_t mToken = 0;
-  std::int64_t mEndedWallMs = 0; // of the first end; 0 before it
+  std::int64_t mEndedWallMs = 0; // when it first ended; 0 before
   std::int64_t mDeadlineWallMs = 0;
-  std::shared_ptr<placement> mPlacement; // only while an attempt runs
-  std::shared_ptr<bytes> mAnswer;        // only if one is kept
+  std::shared_ptr<placement> mPlacement; // set only while an attempt runs
+  std::shared_ptr<bytes> mAnswer;        // set only if an answer is stored
 
   [[nodiscard]] bool HasAnswer() const { return mAnswer != nullptr; }
 
--- a/oriolewalk/ledger/request_ledger.cc
+++ b/oriolewalk/ledger/request_ledger.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The key once more in the order of answers, and two allocations.
+// A second copy of the key in the order of answers, and two allocations.
 constexpr std::size_t kAnswerOverhead = 160;
 
 std::size_t
@@ -102,9 +102,9 @@
   if (aRecord.mState != request_state::Running) {
     return { verdict::Known, aRecord.mAttempt, aRecord };
   }
-  // The same claim again, after its grant was lost on the way: the carrier has
-  // not sent it yet (it waits for the grant), so the same grant is right. The
-  // recorded target counts, not the one proposed now.
+  // The same claim again, because its grant was lost in transit. The owner
+  // waits for the grant and has not sent the request yet, so it gets the same
+  // grant. The recorded target is used, not the one proposed now.
   const bool sameClaim = aRecord.mToken == aClaim.mToken;
   return { sameClaim ? verdict::Granted : verdict::InProgress,
            aRecord.mAttempt,
@@ -137,12 +137,12 @@
     return { verdict::Ignored, record.mAttempt, record };
   }
   const bool isRunning = record.mState == request_state::Running;
-  // The carrier was taken for lost and wakes up: it alone knows what became of
-  // its attempt, and what it says replaces "unknown".
+  // The owner was declared lost but is still alive. It alone knows how its
+  // attempt ended, so its report replaces "unknown".
   const bool isLateReport = record.mState == request_state::Unknown &&
                             aFinish.mResult != attempt_result::Unknown;
   if (!isRunning && !isLateReport) {
-    // The same report again, or one that adds nothing to what is known.
+    // The same report again, or one that adds no information.
     return { verdict::Recorded, record.mAttempt, record };
   }
   switch (aFinish.mResult) {
@@ -199,7 +199,7 @@
   if (found == mRunning.end()) {
     return { verdict::Recorded, 0, std::nullopt };
   }
-  // End() erases from the set that is walked here.
+  // End() erases from the set that is iterated here.
   const std::set<request_ref> refs = found->second;
   for (const request_ref& ref : refs) {
     End(mRecords.find(ref), request_state::Unknown);
@@ -276,9 +276,10 @@
   return aFull || age >= window;
 }
 
-// Looks at a bounded number of the oldest ends for each command, so that one
-// command never pays for a day's backlog. A record that may not go yet is
-// moved to the back: a repeatable one behind it need not wait for it.
+// Checks a bounded number of the oldest ended records for each command, so that
+// no single command has to evict a day's backlog. A record that may not be
+// evicted yet moves to the back, so that a repeatable one behind it need not
+// wait for it.
 void
 request_ledger::EvictExpired()
 {
--- a/oriolewalk/ledger/request_ledger.h
+++ b/oriolewalk/ledger/request_ledger.h
@@ -1,26 +1,28 @@
 #pragma once
 
-// The request ledger: what became of each piece of work, by key.
+// The request ledger: records the outcome of each piece of work by its key.
 //
 //   request_ledger ledger(ledger_options{});
 //   auto outcome = ledger.Apply(claim{...}, wallMs);
 //   if (outcome.mVerdict == verdict::Granted) { /* send attempt mAttempt */ }
 //
-// Replicated: every control process applies the same commands in the order of
-// the log, so all rules stand here and not with those who propose. A stale or
-// doubled proposal is answered by what is recorded; it changes nothing.
+// The ledger is replicated: every control process applies the same commands in
+// the order of the log. All rules are therefore enforced here and not by the
+// proposers. A stale or duplicate proposal is answered from the record and
+// changes nothing.
 //
 // The rules:
-//  - one attempt at a time; the next only after one that surely did not start;
-//  - NotRun is final: no claim of that key is ever granted afterwards;
-//  - a key means one piece of work: another fingerprint is refused;
-//  - an ended key is remembered for the window, and never forgotten earlier to
-//    make room: a forgotten payment that is sent again would be paid twice.
-//    When the ledger is full of records inside the minimum window it grants
-//    nothing new (verdict::Full) instead.
+//  - There is one attempt at a time. The next one is granted only after an
+//    attempt that is known not to have started.
+//  - NotRun is final: no later claim of that key is ever granted.
+//  - A key means one piece of work: another fingerprint is refused.
+//  - An ended key is remembered for the window and never evicted earlier to
+//    free capacity: a payment whose key was evicted would be made twice if its
+//    caller sent it again. When the ledger is full of records inside the
+//    minimum window, it grants nothing new (verdict::Full) instead.
 //
-// Owned by the control state; the control thread only. Costs: Apply is O(1)
-// amortised, but carrier_lost is linear in that carrier's running requests.
+// Owned by the control state; used by the control thread only. Apply costs
+// amortised O(1), but owner_lost is linear in that owner's running requests.
 
 #include <cstddef>
 #include <cstdint>
@@ -38,34 +40,36 @@
 
 struct ledger_options
 {
-  // How long an ended non-repeatable key is remembered. A caller that resends
-  // later is outside the contract (docs/LEDGER.md).
+  // How long an ended non-repeatable key is remembered. Callers that resend
+  // later violate the contract (docs/LEDGER.md).
   std::int64_t mWindowMs = 24LL * 3600 * 1000;
-  // The same for repeatable keys: running again does no harm, only costs.
+  // The same for repeatable keys: a second run costs capacity but does no harm.
   std::int64_t mRepeatableWindowMs = 600'000;
-  // Nothing is forgotten earlier than this, full or not. Not repeatable: as
-  // long as the longest deadline that an entry accepts, so that no copy of a
-  // request that is still under way finds its key forgotten. Repeatable: long
-  // enough for a caller's resends; a later copy only costs a second run.
+  // Minimum time before a record may be evicted, even when the ledger is full.
+  // For non-repeatable keys it is the longest deadline that an entry accepts,
+  // so that the key is still known when a delayed copy of a request arrives.
+  // For repeatable keys it covers the resends of callers; a later copy only
+  // costs a second run.
   std::int64_t mMinimumWindowMs = 600'000;
   std::int64_t mRepeatableMinimumMs = 60'000;
-  // At 231 bytes a record (oriole-bench capacity) 46 MB of the 128 MB, and as
-  // much again for the moment in which a snapshot is written. It bounds the
-  // steady rate: 330 a second that must not be repeated, 3,300 that may.
+  // With 231 bytes a record (oriole-bench capacity) this takes 46 MB of the
+  // 128 MB, and as much again while a snapshot is written. It bounds the
+  // sustained rate: 330 requests a second that must not be repeated, 3,300 that
+  // may be.
   std::size_t mMaxRecords = 200'000;
-  // All kept answers together, each with what its book-keeping takes; beyond
-  // it the oldest answers are dropped first (the outcome stays).
+  // Bound of all stored answers together, each including its overhead. Beyond
+  // it the oldest answers are dropped first; their outcomes stay.
   std::size_t mMaxAnswerBytes = std::size_t{ 12 } << 20U;
 };
 
 enum class verdict : std::uint8_t
 {
   Granted,    // claim: send attempt mAttempt to the target of the claim
-  Recorded,   // finish, refusal: it is in the books now (or was already)
+  Recorded,   // finish, refusal: it is recorded, now or by an earlier command
   InProgress, // another attempt runs
-  Known,      // ended: see mRecord
+  Known,      // the key has ended: see mRecord
   Mismatch,   // the key belongs to other work
-  Full,       // nothing new is granted before older records may be forgotten
+  Full,       // nothing new is granted until older records may be evicted
   Ignored,    // finish of an attempt that is not the current one
 };
 
@@ -73,7 +77,7 @@
 {
   verdict mVerdict = verdict::Ignored;
   std::uint32_t mAttempt = 0;
-  // The record as it stands now; absent for Full and Ignored.
+  // The record after the command; absent for Full and Ignored.
   std::optional<request_record> mRecord;
 };
 
@@ -82,15 +86,16 @@
 public:
   request_ledger();
   explicit request_ledger(ledger_options aOptions);
-  // Moved, never copied: it points into itself.
+  // Movable but not copyable, because it holds pointers into itself.
   request_ledger(const request_ledger&) = delete;
   request_ledger& operator=(const request_ledger&) = delete;
   request_ledger(request_ledger&&) = default;
   request_ledger& operator=(request_ledger&&) = default;
   ~request_ledger() = default;
 
-  // Applies one committed command. aWallMs is the proposer's wall clock, as
-  // recorded in the log, so that every replica forgets at the same place.
+  // Applies one committed command. aWallMs is the proposer's wall clock as
+  // recorded in the log, so that every replica evicts the same records at the
+  // same position of the log.
   ledger_outcome Apply(const ledger_command& aCommand, std::int64_t aWallMs);
 
   [[nodiscard]] const request_record* Find(const request_ref& aRef) const;
@@ -100,14 +105,14 @@
     request_ref mRef;
     request_record mRecord;
   };
-  // In the order of their keys.
+  // Sorted by key.
   [[nodiscard]] std::vector<running_request> Running() const;
   [[nodiscard]] std::set<owning_entry> Owners() const;
 
   [[nodiscard]] std::size_t Size() const { return mRecords.size(); }
   [[nodiscard]] std::size_t AnswerBytes() const { return mAnswerBytes; }
 
-  // For snapshots; options are not part of the state.
+  // For snapshots. The options are not part of the state.
   template<class Archive>
   void save(Archive& aArchive) const // NOLINT(readability-identifier-naming)
   {
@@ -144,12 +149,12 @@
 
   ledger_options mOptions;
   record_map mRecords;
-  // Oldest end first; points into mRecords, whose keys stay where they are
-  // until they are forgotten, which happens only from here.
+  // Oldest end first. Points to keys of mRecords, which are stable until their
+  // record is evicted, which happens only through this queue.
   std::deque<const request_ref*> mEnded;
-  std::deque<request_ref> mAnswered; // oldest kept answer first
-  std::int64_t mLastWallMs = 0;      // never falls, whatever the clocks do
-  // Derived.
+  std::deque<request_ref> mAnswered; // oldest stored answer first
+  std::int64_t mLastWallMs = 0;      // monotonic even if clocks go back
+  // Derived from the records.
   std::map<owning_entry, std::set<request_ref>> mRunning;
   std::size_t mAnswerBytes = 0;
 };
--- a/testing/ledger/request_ledger_test.cc
+++ b/testing/ledger/request_ledger_test.cc
@@ -60,12 +60,12 @@
   CHECK(*again.mRecord->mAnswer == "paid");
 }
 
-TEST_CASE("a claim sent again after a lost grant gets the same grant")
+TEST_CASE("a claim that is sent again after a lost grant gets the same grant")
 {
-  // The carrier claims, the leader commits, the answer is lost with the
-  // leader. The carrier sends the same claim to the next leader, which may
-  // propose another target: the recorded one counts, or the work could be sent
-  // to two targets.
+  // The owner claims a key, the leader commits the claim, and the answer is
+  // lost with the leader. The owner sends the same claim to the next leader,
+  // which may propose another target. Unless the recorded target is used, the
+  // work could be sent to two targets.
   request_ledger ledger;
   const auto first = ledger.Apply(Claim("k"), kStart);
   claim resent = Claim("k");
@@ -80,7 +80,7 @@
 TEST_CASE("not run is final: a late claim of the same key is never granted")
 {
   // A caller is told "not-run" while an earlier copy of its request is still
-  // on its way through another entry. When that copy arrives, it must not run.
+  // in transit through another entry. When that copy arrives, it must not run.
   request_ledger ledger;
   const refusal tombstone{ Ref("k"), kWork };
   CHECK(ledger.Apply(tombstone, kStart).mVerdict == verdict::Recorded);
@@ -90,7 +90,7 @@
   CHECK(ledger.Apply(tombstone, kStart).mVerdict == verdict::Recorded);
 }
 
-TEST_CASE("a tombstone is refused while an attempt runs or has run")
+TEST_CASE("a tombstone is rejected while an attempt runs or after it has run")
 {
   request_ledger ledger;
   ledger.Apply(Claim("k"), kStart);
@@ -108,7 +108,8 @@
   const auto second = ledger.Apply(Claim("k", 2), kStart);
   CHECK(second.mVerdict == verdict::Granted);
   CHECK(second.mAttempt == 2);
-  // The first attempt's report comes again, late: it must not end the second.
+  // A late duplicate of the first attempt's report must not end the second
+  // attempt.
   CHECK(
     ledger.Apply(Finish("k", attempt_result::NotStarted), kStart).mVerdict ==
     verdict::Ignored);
@@ -117,9 +118,9 @@
 
 TEST_CASE("a lost carrier makes unknown, never a second run")
 {
-  // An entry dies between claim and answer. A resend through another entry
-  // must be told "unknown"; if the entry was only paused and has the answer
-  // after all, the answer replaces "unknown".
+  // An entry fails between claim and answer. A resend through another entry
+  // must be told "unknown". If the entry was only paused and has the answer,
+  // the answer replaces "unknown".
   request_ledger ledger;
   ledger.Apply(Claim("k"), kStart);
   ledger.Apply(Claim("other", 1, "e2"), kStart);
@@ -144,10 +145,10 @@
   CHECK(ledger.Find(Ref("k"))->mState == request_state::Running);
 }
 
-TEST_CASE("a full ledger grants nothing new rather than forget a payment")
+TEST_CASE("a full ledger grants nothing new instead of evicting a payment")
 {
-  // Symptom if it forgot: the caller resends a payment inside the window, the
-  // key is unknown, and the citizen pays twice.
+  // If it evicted the key, a payment that the caller sends again within the
+  // window would have an unknown key and the citizen would pay twice.
   ledger_options options;
   options.mMaxRecords = 2;
   request_ledger ledger(options);
@@ -161,7 +162,7 @@
   CHECK(ledger.Apply(Claim("c"), later).mVerdict == verdict::Granted);
 }
 
-TEST_CASE("a full ledger forgets repeatable keys after their own minimum")
+TEST_CASE("a full ledger evicts repeatable keys after their own minimum window")
 {
   ledger_options options;
   options.mMaxRecords = 2;
@@ -178,7 +179,7 @@
   CHECK_FALSE(ledger.Find(Ref("r")));
 }
 
-TEST_CASE("records are forgotten after their window, running ones never")
+TEST_CASE("ended records are evicted after their window, running ones never")
 {
   const ledger_options options;
   request_ledger ledger(options);
@@ -192,7 +193,7 @@
   CHECK(ledger.Find(Ref("runs")));
 }
 
-TEST_CASE("a snapshot carries records, running sets and kept answers")
+TEST_CASE("a snapshot contains records, running requests and stored answers")
 {
   request_ledger ledger;
   ledger.Apply(Claim("runs"), kStart);
