--- a/oriolewalk/traffic/dispatcher.cc
+++ b/oriolewalk/traffic/dispatcher.cc
@@ -23,8 +23,8 @@
 
 namespace {
 
-// Service names come from callers: during the warm-up, requests for names
-// without targets may make at most this many pools.
+// Callers name services, so the number of pools that requests for services
+// without targets can create during the warm-up is bounded.
 constexpr std::size_t kMaxUnknownServices = 64;
 constexpr duration kUnknownRetryAfter = seconds(1);
 
--- a/oriolewalk/traffic/dispatcher.h
+++ b/oriolewalk/traffic/dispatcher.h
@@ -4,19 +4,19 @@
 //
 //   dispatcher traffic({}, seed);
 //   traffic.SetPolicy(policy, now);
-//   traffic.TargetUp(target, now);
-//   traffic.Arrive(request, now);
+//   traffic.OnTargetUp(target, now);
+//   traffic.OnArrival(request, now);
 //   for (const decision& decided : traffic.TakeDecisions()) { … }
-//   traffic.Finished(id, { finish_result::Answered, latency }, now);
+//   traffic.OnFinished(id, { finish_result::Answered, latency }, now);
 //
-// Each arrival gets exactly one decision, unless it is cancelled first. A
-// dispatched request holds its slot until Finished. The leading control
-// process owns one, since one place that knows all slots is what keeps seven
-// entries together within them; a new leader makes a new one, calls Restore
-// for each attempt in the ledger, and then lets requests in.
+// Each arrival gets exactly one decision unless it is cancelled first. A
+// dispatched request holds its slot until OnFinished. The leading control
+// process owns the dispatcher: a single place that knows all slots keeps seven
+// entries together within them. A new leader creates a new dispatcher, calls
+// Restore for each running attempt in the ledger, and then admits requests.
 //
-// One thread. Cost of a call: O(log waiting) and the choice of a target; see
-// docs/POLICY.md for measured figures.
+// Used by one thread. Each call costs O(log waiting) plus the choice of a
+// target; docs/POLICY.md has measured figures.
 
 #include <cstdint>
 #include <map>
@@ -49,34 +49,38 @@
 
   void SetPolicy(const share_policy& aPolicy, time_point aNow);
 
-  // Announced or renewed; the same again changes nothing. Ends "leaving" only
-  // after TargetGone: a renewal that was under way when the target said that
-  // it leaves must not bring it back.
+  // The target announced itself or renewed its lease; repeated calls change
+  // nothing. A leaving target stays leaving until OnTargetGone, because a
+  // renewal that was in flight when the target announced that it leaves must
+  // not bring it back.
   void OnTargetUp(const target_state& aTarget, time_point aNow);
-  // Nothing new goes there; what is in progress goes on.
+  // The target gets no new requests; attempts in progress continue.
   void OnTargetLeaving(const target_id& aTarget, time_point aNow);
-  // Its lease lapsed, or it left. Attempts in progress hold their slots until
-  // Finished, also if the target announces itself again.
+  // The target's lease expired or the target has left. Attempts in progress
+  // hold their slots until OnFinished, even if the target announces itself
+  // again.
   void OnTargetGone(const target_id& aTarget, time_point aNow);
 
-  // False, and nothing happens, if the id is waiting or running already.
+  // Returns false and changes nothing if the id is already waiting or running.
   bool OnArrival(const arrival& aArrival, time_point aNow);
-  // The caller hung up. True if the request was waiting: it left its queue and
-  // gets no decision. False if it is not waiting: an attempt in progress
-  // cannot be taken back, and goes on.
+  // The caller closed its connection. Returns true if the request was waiting;
+  // it is removed from its queue and gets no decision. Otherwise returns false:
+  // an attempt in progress cannot be stopped and continues.
   bool Cancel(request_id aId, time_point aNow);
-  // An attempt that runs already holds its slot from now on.
+  // Gives a slot to an attempt that is already running.
   void Restore(const running_attempt& aAttempt, time_point aNow);
-  // Frees the slot. Ids that hold none are ignored.
+  // Frees the slot. Ids that hold no slot are ignored.
   void OnFinished(request_id aId, const finish& aFinish, time_point aNow);
 
   void Tick(time_point aNow);
-  // When Tick has something to do; nothing if only an event can change things.
+  // The time of the next Tick, or nothing if only an event can change the
+  // state.
   [[nodiscard]] std::optional<time_point> NextWake() const;
-  // In the order in which they were made.
+  // Returns the decisions in the order in which they were made.
   std::vector<decision> TakeDecisions();
 
-  // Linear in targets and organisations: for status pages, not for each call.
+  // Linear in targets and organisations: meant for status pages, not for each
+  // call.
   [[nodiscard]] dispatcher_stats Stats() const;
   // O(1).
   [[nodiscard]] const dispatch_counters& Counters() const { return mCounters; }
@@ -90,9 +94,9 @@
   void DropIdlePools();
 
   dispatch_options mOptions;
-  std::unique_ptr<random_source> mRandom; // stays where it is when moved
+  std::unique_ptr<random_source> mRandom; // stable address for pools
   share_policy mPolicy;
-  std::optional<time_point> mWarmUpStart; // of the warm-up: the first event
+  std::optional<time_point> mWarmUpStart; // time of the first event
   std::map<service_id, std::unique_ptr<service_pool>> mPools;
   std::unordered_map<target_id, service_pool*> mTargets;
   std::unordered_map<request_id, service_pool*> mRequests;
--- a/oriolewalk/traffic/entry_limiter.cc
+++ b/oriolewalk/traffic/entry_limiter.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Fewer sent requests than this say nothing of a caller.
+// With fewer sent requests than this, a caller is not throttled.
 constexpr double kMinSent = 10;
 
 } // namespace
@@ -49,7 +49,7 @@
     return Refuse(refusal::Overloaded);
   }
   if (IsOverLimit(aRequest)) {
-    // For control's sake, not for the caller's: not held against it.
+    // This refusal protects control and is not counted against the caller.
     return Refuse(refusal::Overloaded);
   }
   auto& calls = mCalls.at(IndexOf(aRequest.mClass));
@@ -82,8 +82,8 @@
   Adapt(aCall, aNow);
 }
 
-// A call counts once its result is known: calls in progress, and lost ones, say
-// nothing against the caller.
+// A call counts once its result is known. Calls in progress and lost calls are
+// not counted against the caller.
 void
 entry_limiter::Count(const entry_request& aRequest,
                      call_result aResult,
@@ -97,7 +97,7 @@
   }
 }
 
-// nullptr if there are too many callers to remember one more.
+// Returns nullptr if the record is new and there are too many callers already.
 entry_limiter::caller_record*
 entry_limiter::FindOrAddRecord(const entry_request& aRequest, time_point aNow)
 {
@@ -121,7 +121,7 @@
   return &made;
 }
 
-// Linear in the callers, so not more often than half of their counts fade.
+// Linear in the callers, so it runs at most once per half-life of the counts.
 void
 entry_limiter::EvictIdleCallers(time_point aNow)
 {
@@ -154,7 +154,8 @@
   }
   const double excess =
     aRecord.mSent - (mOptions.mSentPerAccepted * aRecord.mAccepted);
-  // Never all of it: what is sent on is how the entry learns of better times.
+  // Never refuses everything: the requests that are still sent show the entry
+  // when control accepts them again.
   constexpr double kMaxRefusedShare = 0.95;
   return mRandom.Fraction() <
          std::min(kMaxRefusedShare, excess / (aRecord.mSent + 1));
@@ -189,13 +190,15 @@
   const bool slow =
     aCall.mResult == call_result::Lost || aCall.mLatency > mOptions.mSlowCall;
   if (!slow) {
-    // Only a limit that is being used can be known to be too low.
+    // The limit grows only while at least half of it is used: otherwise there
+    // is no evidence that it is too low.
     if (static_cast<double>(mInProgress) * 2 >= mLimit) {
       mLimit = std::min(mLimit + (1 / mLimit), mOptions.mMaxLimit);
     }
     return;
   }
-  // Calls that were under way together tell of one and the same moment.
+  // Calls that were in progress together show one overload and decrease the
+  // limit once.
   if (aNow - mLastDecrease >= std::max(aCall.mLatency, mOptions.mSlowCall)) {
     mLimit = std::max(mLimit * mOptions.mDecrease, mOptions.mMinLimit);
     mLastDecrease = aNow;
--- a/oriolewalk/traffic/entry_limiter.h
+++ b/oriolewalk/traffic/entry_limiter.h
@@ -1,30 +1,32 @@
 #pragma once
 
-// What an entry passes on to control, and what it refuses by itself.
+// Decides which requests an entry forwards to control and which it refuses.
 //
 //   const auto verdict = limiter.Admit(request, now);
 //   if (verdict.mRefused) { … answer busy with verdict.mRetryAfter … }
 //   … call control …
-//   limiter.Finished(request, { call_result::Accepted, latency }, now);
+//   limiter.OnFinished(request, { call_result::Accepted, latency }, now);
 //
-// Load pattern: control itself is the bottleneck. Without the limiter all
-// entries queue calls at control until every one of them times out; refusing
-// costs control as much as accepting, so that refusals crowd out answers.
+// This handles control as the bottleneck. Without the limiter all entries
+// queue calls at control until every call times out; a refusal costs control
+// as much as an acceptance, so refusals crowd out answers.
 //
-// - The number of calls in progress follows control's own latency: one more
-//   for each window of quick calls, a tenth fewer (once per latency) when
-//   calls are slow or lost (additive increase, multiplicative decrease).
-// - Each class may use a part of that number, urgent all of it: the urgent get
-//   through first. A class below the urgent one keeps one call at least.
-// - When the limit is nearly used, each organisation is held to its weight's
-//   share of it.
-// - Where control refuses most of what a caller sends, the entry refuses a
-//   part itself: sent requests stay under about twice the accepted ones
-//   (adaptive throttling), by organisation, class and caller, so that a hot
-//   caller's refusals do not hit its neighbours.
+// - The limit of concurrent calls follows the latency of control: it grows by
+//   one for each window of fast calls and shrinks by a tenth, at most once per
+//   latency, when calls are slow or lost (additive increase, multiplicative
+//   decrease).
+// - Each class may use a share of the limit; urgent may use all of it, so that
+//   urgent requests get through first. A lower class always keeps at least one
+//   call.
+// - When the limit is nearly used, each organisation is held to the share of
+//   it that its weight gives.
+// - Where control refuses most requests of a caller, the entry refuses some of
+//   them itself and keeps the requests it sends below about twice the accepted
+//   ones (adaptive throttling). The counts are kept by organisation, class and
+//   caller, so that a hot caller's refusals do not affect its neighbours.
 //
-// Owned by an entry's traffic thread; one thread. Cost: O(1) and a look-up;
-// memory is bounded by kMaxCallers records.
+// Owned by an entry's traffic thread; used by one thread. Each call costs O(1)
+// and a look-up; kMaxCallers records bound the memory.
 
 #include <array>
 #include <cstddef>
@@ -47,17 +49,18 @@
   double mInitialLimit = 64;
   double mMinLimit = 4;
   double mMaxLimit = 2048;
-  // Latency of control (without the time a request waits in its queues) over
-  // which a call counts as slow.
+  // A call counts as slow above this latency of control, which excludes the
+  // time that the request waited in control's queues.
   duration mSlowCall = milliseconds(50);
   double mDecrease = 0.9;
-  // Part of the limit that a class may fill.
+  // Share of the limit that a class may use.
   std::array<double, kClassCount> mClassShare = { 1.0, 0.85, 0.7 };
-  // From this part of the limit on, organisations are held to their shares.
+  // From this share of the limit on, organisations are held to their shares.
   double mFairShareThreshold = 0.5;
-  // Sent to accepted, above which the entry refuses by itself.
+  // The entry refuses requests itself above this ratio of sent to accepted
+  // ones.
   double mSentPerAccepted = 2;
-  duration mHalfLife = seconds(2); // half of the counts are forgotten
+  duration mHalfLife = seconds(2); // the counts halve in this time
   duration mRetryAfter = milliseconds(500);
 };
 
@@ -70,15 +73,15 @@
 
 enum class call_result : std::uint8_t
 {
-  Accepted, // control found a target, or an answer
-  Refused,  // busy
+  Accepted, // control found a target or an answer
+  Refused,  // control is busy
   Lost,     // no answer in time, or the connection broke
 };
 
 struct control_call
 {
   call_result mResult = call_result::Accepted;
-  duration mLatency{}; // less the waiting time that the answer tells
+  duration mLatency{}; // without the waiting time that the answer reports
 };
 
 struct entry_verdict
@@ -94,7 +97,7 @@
 
   entry_limiter(const entry_options& aOptions, std::uint64_t aSeed);
   void SetPolicy(const share_policy& aPolicy);
-  // If nothing is refused, the call counts as in progress until Finished.
+  // If nothing is refused, the call counts as in progress until OnFinished.
   entry_verdict Admit(const entry_request& aRequest, time_point aNow);
   void OnFinished(const entry_request& aRequest,
                   const control_call& aCall,
@@ -106,7 +109,7 @@
 private:
   struct caller_record
   {
-    double mSent = 0; // with a known result, or refused here
+    double mSent = 0; // calls with a known result, and local refusals
     double mAccepted = 0;
     time_point mAt{};
   };
@@ -130,15 +133,15 @@
   time_point mLastDecrease{};
   time_point mLastEviction{};
   std::size_t mInProgress = 0;
-  double mActiveWeight = 0; // of organisations with calls in progress
+  double mActiveWeight = 0; // of the organisations with calls in progress
   std::array<std::unordered_map<organisation_id, std::size_t>, kClassCount>
     mCalls;
   std::unordered_map<std::string, caller_record> mCallers;
 };
 
-// Connections that one entry may keep to a target, so that aEntries of them
-// stay within the target's aConnections together. At least one, since an entry
-// without a connection could not serve at all.
+// The number of connections that one entry may open to a target so that
+// aEntries of them together stay within the target's aConnections. At least
+// one, because an entry without a connection could not serve at all.
 [[nodiscard]] constexpr std::uint32_t
 ConnectionsPerEntry(std::uint32_t aConnections, std::uint32_t aEntries)
 {
--- a/oriolewalk/traffic/retry_budget.cc
+++ b/oriolewalk/traffic/retry_budget.cc
@@ -47,8 +47,8 @@
   return true;
 }
 
-// The steady trickle fills the budget to one retry only: what is saved up
-// comes from successes.
+// The constant refill tops the budget up to one retry only; more than one is
+// accumulated from successes alone.
 double
 retry_budget::Available(time_point aNow) const
 {
--- a/oriolewalk/traffic/retry_budget.h
+++ b/oriolewalk/traffic/retry_budget.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// When an attempt may be followed by another one.
+// Decides whether an attempt may be followed by another one.
 //
-//   if (MayRunAgain(attempt) && budget.Spend(now)) { … place it again … }
+//   if (MayRetry(attempt) && budget.TrySpend(now)) { … place it again … }
 //
-// Load pattern: failing targets while callers and entries send again. Without
-// the budget each failure makes a further arrival, the load doubles when
-// capacity is least, and the system stays down after the cause is gone.
+// This handles failing targets while callers and entries send again. Without
+// the budget each failure causes another arrival, the load doubles when
+// capacity is lowest, and the system stays overloaded after the cause is gone.
 
 #include <cstdint>
 
@@ -19,31 +19,32 @@
 {
   finish_result mResult = finish_result::Unknown;
   bool mRepeatable = false;
-  // It surely runs nowhere any more: answered, refused before start, or its
-  // target said so or is surely gone.
+  // The attempt is known to have ended: it was answered or refused before
+  // start, or its target reported the end or is known to be gone.
   bool mHasEnded = false;
 };
 
-// Only what surely did not start, or may be repeated and surely ended: a
-// payment must not be made twice, also not by two attempts that overlap.
-// An answer, also one of failure, is the caller's to judge.
+// Allows a retry only for an attempt that is known not to have started, or that
+// is repeatable and known to have ended: a payment must not be made twice, not
+// even by overlapping attempts. An answer is final even if it reports a
+// failure; the caller decides what to do.
 [[nodiscard]] bool
 MayRetry(const ended_attempt& aAttempt);
 
 struct retry_options
 {
   double mShareOfSuccesses = 0.1;
-  double mMaxTokens = 100;    // retries saved up
-  double mMinPerSecond = 0.5; // so that a quiet service can retry at all
+  double mMaxTokens = 100;    // bounds the accumulated retries
+  double mMinPerSecond = 0.5; // lets a quiet service retry at all
 };
 
-// One service. One owner, one thread; O(1).
+// The budget of one service. Used by one thread; all operations are O(1).
 class retry_budget
 {
 public:
   explicit retry_budget(const retry_options& aOptions = {});
   void OnSuccess();
-  // True if a retry may be made; it is then counted.
+  // Returns true and takes one token if a retry may be made.
   [[nodiscard]] bool TrySpend(time_point aNow);
   [[nodiscard]] double Available(time_point aNow) const;
 
