--- a/oriolewalk/control/entry_registry.h
+++ b/oriolewalk/control/entry_registry.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// The entries as the leader hears of them, and which carriers are lost.
+// The entries that the leader knows, and the owners that are lost.
 //
-// A carrier (one life of an entry) that is silent for kCarrierGrace is taken
-// for lost: what it carried is recorded as unknown. That states nothing false
-// if it was only paused, and its answers still replace "unknown" when it
-// wakes; a shorter grace would make "unknown" of requests that a pause of a
-// second only delays.
+// An owner (an incarnation of an entry) that is silent for kCarrierGrace is
+// declared lost, and the requests that it owned are recorded as unknown. That
+// is correct even if it was only paused, and its answers still replace
+// "unknown" when it resumes. A shorter grace would record requests as unknown
+// that a pause of a second only delays.
 //
-// Soft state of the leader. A new leader gives every carrier that the ledger
-// names a full grace from its own start: it has heard of none yet.
+// Soft state of the leader. A new leader has heard from no owner yet, so it
+// gives every owner that the ledger names a full grace from its own start.
 
 #include <cstdint>
 #include <map>
@@ -38,10 +38,10 @@
 {
 public:
   void Reset(const std::set<ledger::owning_entry>& aCarrying, time_point aNow);
-  // Also for any other message that names its carrier.
+  // Also called for any other message that names its owner.
   void Heard(const protocol::heartbeat& aBeat, time_point aNow);
-  // Carriers of aCarrying that are silent, or whose instance lives on under
-  // another boot. Each is returned until the ledger no longer names it.
+  // Returns the owners of aCarrying that are silent, or whose instance runs
+  // under another boot. Each is returned until the ledger no longer names it.
   [[nodiscard]] std::vector<ledger::owning_entry> Lost(
     const std::set<ledger::owning_entry>& aCarrying,
     time_point aNow);
--- a/oriolewalk/control/live_requests.cc
+++ b/oriolewalk/control/live_requests.cc
@@ -234,8 +234,8 @@
 {
   std::vector<token_t> free;
   for (auto& [token, running] : mRunning) {
-    // The target may work on for a lost carrier until the deadline that it was
-    // told; its slot is not given away before.
+    // The target may keep working for a lost owner until the deadline that it
+    // was given, so its slot is not reused before.
     if (running.mCarrierLost && aNow >= running.mDeadline) {
       free.push_back(token);
     } else if (!running.mReported &&
@@ -406,7 +406,7 @@
   if (ended) {
     FreeSlot(aFinish.mToken, told, aNow);
   }
-  // A claim that its carrier gives back while it still waits here.
+  // The owner returns a claim that is still waiting here.
   if (aFinish.mResult == ledger::attempt_result::NotStarted) {
     Cancel({ aFinish.mRef, aFinish.mToken }, aNow);
   }
--- a/oriolewalk/control/live_requests.h
+++ b/oriolewalk/control/live_requests.h
@@ -34,9 +34,10 @@
 
 namespace oriolewalk::control {
 
-// An attempt whose end nobody reports is taken for unknown so long after its
-// deadline: longer than the carrier grace, since a live entry reports the end
-// of each attempt at its deadline and asks again until it is heard.
+// An attempt without a reported end is recorded as unknown this long after its
+// deadline. It is longer than the grace of an owner, because a live entry
+// reports the end of each attempt at its deadline and repeats the report until
+// it is acknowledged.
 constexpr seconds kOverdueGrace{ 15 };
 
 struct live_output
@@ -82,8 +83,8 @@
                const ledger::ledger_outcome& aOutcome,
                time_point aNow);
   void Tick(time_point aNow, std::int64_t aWallMs);
-  // About every 100 ms: frees what lost carriers held, and ends attempts whose
-  // end nobody reports. Linear in what runs.
+  // Called about every 100 ms. Frees the slots of lost owners and ends attempts
+  // without a reported end. Linear in the running attempts.
   void Sweep(time_point aNow);
   // Carries out what the dispatcher decided. The core calls it once after a
   // batch of events.
--- a/oriolewalk/entry/caller_api.h
+++ b/oriolewalk/entry/caller_api.h
@@ -15,7 +15,7 @@
 
 struct parsed_call
 {
-  protocol::claim_request mClaim; // without carrier, token and origin
+  protocol::claim_request mClaim; // without owner, token and origin
   std::string mTargetPath;        // "/PATH?QUERY" for the target
   milliseconds mDeadline{ 0 };
 };
--- a/oriolewalk/entry/request_flow.h
+++ b/oriolewalk/entry/request_flow.h
@@ -32,8 +32,8 @@
 
 // Covers a leader change (under 1.5 s), after which the report goes through.
 constexpr milliseconds kReportPatience{ 2500 };
-// A report that its caller doesn't wait for any more is tried so long: past
-// the carrier grace somebody else has recorded the attempt's end.
+// A report that its caller no longer waits for is retried for this long. After
+// the grace of an owner the leader has recorded the attempt's end.
 constexpr seconds kBackgroundPatience{ 15 };
 constexpr std::uint32_t kMostAttempts = 3;
 
