--- a/bench/traffic_baselines.cc
+++ b/bench/traffic_baselines.cc
@@ -54,20 +54,20 @@
 }
 
 void
-plain_targets::Up(const target_state& aTarget)
+plain_targets::Add(const target_state& aTarget)
 {
   mTargets.emplace_back(aTarget, 0);
 }
 
 void
-plain_targets::Leave(const target_id& aTarget)
+plain_targets::Remove(const target_id& aTarget)
 {
   std::erase_if(
     mTargets, [&](const auto& aEntry) { return aEntry.first.mId == aTarget; });
 }
 
 void
-plain_targets::Hold(const target_id& aTarget)
+plain_targets::AcquireSlot(const target_id& aTarget)
 {
   for (auto& [state, held] : mTargets) {
     held += state.mId == aTarget ? 1 : 0;
@@ -75,7 +75,7 @@
 }
 
 void
-plain_targets::Release(const target_id& aTarget)
+plain_targets::ReleaseSlot(const target_id& aTarget)
 {
   for (auto& [state, held] : mTargets) {
     held -= state.mId == aTarget ? 1 : 0;
@@ -83,7 +83,7 @@
 }
 
 std::optional<std::size_t>
-plain_targets::Least() const
+plain_targets::LeastBusy() const
 {
   const auto least = std::ranges::min_element(
     mTargets, {}, [](const auto& aEntry) { return aEntry.second; });
@@ -94,32 +94,32 @@
 }
 
 void
-fifo_policy::TargetUp(const target_state& aTarget, time_point /*aNow*/)
+fifo_policy::OnTargetUp(const target_state& aTarget, time_point /*aNow*/)
 {
-  mTargets.Up(aTarget);
+  mTargets.Add(aTarget);
   Place();
 }
 
 void
-fifo_policy::TargetLeaving(const target_id& aTarget, time_point /*aNow*/)
+fifo_policy::OnTargetLeaving(const target_id& aTarget, time_point /*aNow*/)
 {
-  mTargets.Leave(aTarget);
+  mTargets.Remove(aTarget);
 }
 
 void
-fifo_policy::Arrive(const arrival& aArrival, time_point /*aNow*/)
+fifo_policy::OnArrival(const arrival& aArrival, time_point /*aNow*/)
 {
   mQueue.push_back(aArrival.mId);
   Place();
 }
 
 void
-fifo_policy::Finished(request_id /*aId*/,
-                      const target_id& aTarget,
-                      const finish& /*aFinish*/,
-                      time_point /*aNow*/)
+fifo_policy::OnFinished(request_id /*aId*/,
+                        const target_id& aTarget,
+                        const finish& /*aFinish*/,
+                        time_point /*aNow*/)
 {
-  mTargets.Release(aTarget);
+  mTargets.ReleaseSlot(aTarget);
   Place();
 }
 
@@ -133,46 +133,46 @@
 fifo_policy::Place()
 {
   while (!mQueue.empty()) {
-    const auto least = mTargets.Least();
+    const auto least = mTargets.LeastBusy();
     if (!least || !mTargets.HasSlot(*least)) {
       return;
     }
     const target_id target = mTargets.At(*least);
-    mTargets.Hold(target);
+    mTargets.AcquireSlot(target);
     mDecisions.emplace_back(dispatch{ mQueue.front(), target });
     mQueue.pop_front();
   }
 }
 
 void
-direct_policy::TargetUp(const target_state& aTarget, time_point /*aNow*/)
+direct_policy::OnTargetUp(const target_state& aTarget, time_point /*aNow*/)
 {
-  mTargets.Up(aTarget);
+  mTargets.Add(aTarget);
 }
 
 void
-direct_policy::TargetLeaving(const target_id& aTarget, time_point /*aNow*/)
+direct_policy::OnTargetLeaving(const target_id& aTarget, time_point /*aNow*/)
 {
-  mTargets.Leave(aTarget);
+  mTargets.Remove(aTarget);
 }
 
 void
-direct_policy::Arrive(const arrival& aArrival, time_point /*aNow*/)
+direct_policy::OnArrival(const arrival& aArrival, time_point /*aNow*/)
 {
   const std::size_t drawn = mRandom.Below(mTargets.Size());
-  const target_id target =
-    mTargets.At(mLeast ? mTargets.Least().value_or(drawn) : drawn);
-  mTargets.Hold(target);
+  const target_id target = mTargets.At(
+    mIsLeastOutstanding ? mTargets.LeastBusy().value_or(drawn) : drawn);
+  mTargets.AcquireSlot(target);
   mDecisions.emplace_back(dispatch{ aArrival.mId, target });
 }
 
 void
-direct_policy::Finished(request_id /*aId*/,
-                        const target_id& aTarget,
-                        const finish& /*aFinish*/,
-                        time_point /*aNow*/)
+direct_policy::OnFinished(request_id /*aId*/,
+                          const target_id& aTarget,
+                          const finish& /*aFinish*/,
+                          time_point /*aNow*/)
 {
-  mTargets.Release(aTarget);
+  mTargets.ReleaseSlot(aTarget);
 }
 
 std::vector<decision>
@@ -199,38 +199,38 @@
 }
 
 void
-credit_policy::TargetUp(const target_state& aTarget, time_point aNow)
+credit_policy::OnTargetUp(const target_state& aTarget, time_point aNow)
 {
   mTargets.push_back(aTarget);
   Lend(aNow);
 }
 
 void
-credit_policy::TargetLeaving(const target_id& aTarget, time_point aNow)
+credit_policy::OnTargetLeaving(const target_id& aTarget, time_point aNow)
 {
   std::erase_if(mTargets,
                 [&](const auto& aEach) { return aEach.mId == aTarget; });
   for (dispatcher& entry : mEntries) {
-    entry.TargetLeaving(aTarget, aNow);
+    entry.OnTargetLeaving(aTarget, aNow);
   }
 }
 
 void
-credit_policy::Arrive(const arrival& aArrival, time_point aNow)
+credit_policy::OnArrival(const arrival& aArrival, time_point aNow)
 {
   const bool skewed = mRandom.Fraction() < mSkew;
   const std::size_t owner = skewed ? 0 : mRandom.Below(kEntries);
   mOwner[aArrival.mId] = owner;
-  mEntries.at(owner).Arrive(aArrival, aNow);
+  mEntries.at(owner).OnArrival(aArrival, aNow);
 }
 
 void
-credit_policy::Finished(request_id aId,
-                        const target_id& /*aTarget*/,
-                        const finish& aFinish,
-                        time_point aNow)
+credit_policy::OnFinished(request_id aId,
+                          const target_id& /*aTarget*/,
+                          const finish& aFinish,
+                          time_point aNow)
 {
-  mEntries.at(mOwner.at(aId)).Finished(aId, aFinish, aNow);
+  mEntries.at(mOwner.at(aId)).OnFinished(aId, aFinish, aNow);
   mOwner.erase(aId);
 }
 
@@ -297,7 +297,7 @@
     for (std::size_t entry = 0; entry < kEntries; ++entry) {
       target_state part = target;
       part.mSlots = lent.at(entry);
-      mEntries.at(entry).TargetUp(part, aNow);
+      mEntries.at(entry).OnTargetUp(part, aNow);
     }
   }
 }
--- a/bench/traffic_baselines.h
+++ b/bench/traffic_baselines.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The policies that scenarios compare, behind one variant: the project's own,
-// and four that are often met.
+// The policies that the scenarios compare, behind one variant: the project's
+// own policy and common baselines.
 
 #include <cstddef>
 #include <cstdint>
@@ -26,9 +26,9 @@
 enum class policy_kind : std::uint8_t
 {
   Own,
-  Fifo,             // one queue for all, slots kept, no deadline looked at
-  Random,           // to any target at once; the target queues
-  LeastOutstanding, // to the least busy one at once; the target queues
+  Fifo,             // one FIFO queue within the slots; deadlines are ignored
+  Random,           // immediately to a random target, which queues
+  LeastOutstanding, // immediately to the least busy target, which queues
   NoLimit,          // own order and placement, but everything is admitted
   LentCredits,      // seven own dispatchers with lent slots
 };
@@ -36,21 +36,21 @@
 std::string_view
 ToString(policy_kind aKind);
 
-// Targets as the two simple kinds of baseline know them.
+// Targets as the simple baselines see them.
 class plain_targets
 {
 public:
-  void Up(const traffic::target_state& aTarget);
-  void Leave(const target_id& aTarget);
-  void Hold(const target_id& aTarget);
-  void Release(const target_id& aTarget);
+  void Add(const traffic::target_state& aTarget);
+  void Remove(const target_id& aTarget);
+  void AcquireSlot(const target_id& aTarget);
+  void ReleaseSlot(const target_id& aTarget);
   [[nodiscard]] std::size_t Size() const { return mTargets.size(); }
   [[nodiscard]] const target_id& At(std::size_t aIndex) const
   {
     return mTargets.at(aIndex).first.mId;
   }
-  // The index of the least busy one, if there is any.
-  [[nodiscard]] std::optional<std::size_t> Least() const;
+  // Returns the index of the least busy target, or nothing if there is none.
+  [[nodiscard]] std::optional<std::size_t> LeastBusy() const;
   [[nodiscard]] bool HasSlot(std::size_t aIndex) const
   {
     return mTargets.at(aIndex).second < mTargets.at(aIndex).first.mSlots;
@@ -63,13 +63,13 @@
 class fifo_policy
 {
 public:
-  void TargetUp(const traffic::target_state& aTarget, time_point aNow);
-  void TargetLeaving(const target_id& aTarget, time_point aNow);
-  void Arrive(const traffic::arrival& aArrival, time_point aNow);
-  void Finished(traffic::request_id aId,
-                const target_id& aTarget,
-                const traffic::finish& aFinish,
-                time_point aNow);
+  void OnTargetUp(const traffic::target_state& aTarget, time_point aNow);
+  void OnTargetLeaving(const target_id& aTarget, time_point aNow);
+  void OnArrival(const traffic::arrival& aArrival, time_point aNow);
+  void OnFinished(traffic::request_id aId,
+                  const target_id& aTarget,
+                  const traffic::finish& aFinish,
+                  time_point aNow);
   std::vector<traffic::decision> TakeDecisions();
 
 private:
@@ -80,33 +80,34 @@
   std::vector<traffic::decision> mDecisions;
 };
 
-// Random, or least outstanding.
+// Sends each request immediately to a random or the least busy target.
 class direct_policy
 {
 public:
-  direct_policy(bool aLeast, std::uint64_t aSeed)
-    : mLeast(aLeast)
+  direct_policy(bool aLeastOutstanding, std::uint64_t aSeed)
+    : mIsLeastOutstanding(aLeastOutstanding)
     , mRandom(aSeed)
   {
   }
-  void TargetUp(const traffic::target_state& aTarget, time_point aNow);
-  void TargetLeaving(const target_id& aTarget, time_point aNow);
-  void Arrive(const traffic::arrival& aArrival, time_point aNow);
-  void Finished(traffic::request_id aId,
-                const target_id& aTarget,
-                const traffic::finish& aFinish,
-                time_point aNow);
+  void OnTargetUp(const traffic::target_state& aTarget, time_point aNow);
+  void OnTargetLeaving(const target_id& aTarget, time_point aNow);
+  void OnArrival(const traffic::arrival& aArrival, time_point aNow);
+  void OnFinished(traffic::request_id aId,
+                  const target_id& aTarget,
+                  const traffic::finish& aFinish,
+                  time_point aNow);
   std::vector<traffic::decision> TakeDecisions();
 
 private:
-  bool mLeast;
+  bool mIsLeastOutstanding;
   random_source mRandom;
   plain_targets mTargets;
   std::vector<traffic::decision> mDecisions;
 };
 
-// Seven entries with a dispatcher each; each target's slots are lent to them
-// anew every 100 ms, free ones in proportion to what each has queued or runs.
+// Seven entries with one dispatcher each. The slots of each target are lent to
+// them again every 100 ms: free slots in proportion to what each entry has
+// queued or running.
 class credit_policy
 {
 public:
@@ -114,13 +115,13 @@
 
   credit_policy(double aSkew, std::uint64_t aSeed);
   void SetPolicy(const traffic::share_policy& aPolicy, time_point aNow);
-  void TargetUp(const traffic::target_state& aTarget, time_point aNow);
-  void TargetLeaving(const target_id& aTarget, time_point aNow);
-  void Arrive(const traffic::arrival& aArrival, time_point aNow);
-  void Finished(traffic::request_id aId,
-                const target_id& aTarget,
-                const traffic::finish& aFinish,
-                time_point aNow);
+  void OnTargetUp(const traffic::target_state& aTarget, time_point aNow);
+  void OnTargetLeaving(const target_id& aTarget, time_point aNow);
+  void OnArrival(const traffic::arrival& aArrival, time_point aNow);
+  void OnFinished(traffic::request_id aId,
+                  const target_id& aTarget,
+                  const traffic::finish& aFinish,
+                  time_point aNow);
   void Tick(time_point aNow);
   [[nodiscard]] std::optional<time_point> NextWake() const;
   std::vector<traffic::decision> TakeDecisions();
--- a/bench/traffic_bench.cc
+++ b/bench/traffic_bench.cc
@@ -1,4 +1,5 @@
-// Scenarios of docs/POLICY.md, under the project's own policy and baselines.
+// Runs the scenarios of docs/POLICY.md under the project's own policy and under
+// the baselines.
 
 #include <algorithm>
 #include <array>
@@ -70,7 +71,7 @@
            const std::string& aName,
            const outcome& aSeen)
 {
-  double slotSeconds = 1e-9; // none is no share, not a division by zero
+  double slotSeconds = 1e-9; // avoids a division by zero
   for (const traffic::work_class each : traffic::kClasses) {
     const caller_outcome& seen = aSeen.mByClass.at(IndexOf(each));
     std::string name = aName;
@@ -99,8 +100,8 @@
 bool
 Compares(const scenario& aScenario, policy_kind aKind)
 {
-  // The others have no state that a leader change could lose.
-  return aScenario.mLeaderLost < 0 || aKind == policy_kind::Own;
+  // The baselines have no state that a leader change could lose.
+  return aScenario.mLeaderLostSeconds < 0 || aKind == policy_kind::Own;
 }
 
 void
@@ -122,22 +123,22 @@
   }
 }
 
-// One placer with committed claims against lent slot credits. A claim must be
-// committed in both, since "at most once" rests on it; the credits are also
-// shown without, as the best that they could be.
+// Compares one placer that commits claims with lent slot credits. At-most-once
+// execution requires a committed claim in both cases. Credits without a commit
+// are also shown, as the best that they could achieve.
 void
 RunPlacers(bench_report& aReport)
 {
-  constexpr double kLeast = 0.001;
-  constexpr double kMost = 0.003;
+  constexpr double kMinCommitSeconds = 0.001;
+  constexpr double kMaxCommitSeconds = 0.003;
   for (const double times : { 0.8, 1.5, 3.0 }) {
     for (const double skew : { 0.0, 0.4 }) {
       scenario with = Overload(times);
       with.mName += skew > 0 ? ".skewed" : ".even";
       with.mSkew = skew;
       scenario without = with;
-      with.mLeastCommit = kLeast;
-      with.mMostCommit = kMost;
+      with.mMinCommitSeconds = kMinCommitSeconds;
+      with.mMaxCommitSeconds = kMaxCommitSeconds;
       AddOutcome(aReport,
                  "placer." + with.mName + ".one_placer",
                  Run(with, policy_kind::Own));
@@ -151,7 +152,7 @@
   }
 }
 
-// Decision cost against the number of targets and organisations.
+// Measures the cost of a decision by the number of targets and organisations.
 void
 RunSizes(bench_report& aReport)
 {
@@ -186,7 +187,7 @@
   }
 }
 
-// How many of the free targets to compare: all, eight, two or one.
+// Compares numbers of free targets to choose from: all, eight, two or one.
 void
 RunChoices(bench_report& aReport)
 {
@@ -206,8 +207,8 @@
       made.mTargets = targets;
       made.mSeconds = targets > 1000 ? 2 : 8;
       made.mWarmUp = 1;
-      made.mOptions.mTarget.mScan = each.mScan;
-      made.mOptions.mTarget.mSample = each.mSample;
+      made.mOptions.mTarget.mFullScanLimit = each.mScan;
+      made.mOptions.mTarget.mSampleSize = each.mSample;
       source load;
       load.mLabel = "all";
       load.mOrganisation = organisation_id("all");
--- a/fuzzing/traffic_fuzz.cc
+++ b/fuzzing/traffic_fuzz.cc
@@ -1,5 +1,5 @@
-// The dispatcher against a simple oracle: any order of events, and after each
-// of them the promises that do not depend on how it decides.
+// Runs the dispatcher against a simple oracle: applies any sequence of events
+// and checks after each event the guarantees that hold whatever it decides.
 
 #include <fuzzer/FuzzedDataProvider.h>
 
@@ -22,10 +22,10 @@
 namespace {
 
 void
-Require(bool aHolds, const char* aPromise)
+Require(bool aCondition, const char* aGuarantee)
 {
-  if (!aHolds) {
-    std::fprintf(stderr, "broken: %s\n", aPromise);
+  if (!aCondition) {
+    std::fprintf(stderr, "broken: %s\n", aGuarantee);
     std::abort();
   }
 }
@@ -33,8 +33,8 @@
 struct known_target
 {
   target_state mState;
-  bool mServes = false;
-  bool mLeaving = false;
+  bool mIsServing = false;
+  bool mIsLeaving = false;
   std::uint32_t mHeld = 0;
 };
 
@@ -87,11 +87,11 @@
   {
     switch (mData.ConsumeIntegralInRange(0, 10)) {
       case 0:
-        return Announce();
+        return AnnounceTarget();
       case 1:
-        return Leave();
+        return StartTargetLeave();
       case 2:
-        return Go();
+        return RemoveTarget();
       case 3:
       case 4:
       case 5:
@@ -105,11 +105,11 @@
       case 9:
         return mData.ConsumeBool() ? SetPolicy() : FinishOldest();
       default:
-        return Pass();
+        return AdvanceTime();
     }
   }
 
-  void Announce()
+  void AnnounceTarget()
   {
     const target_id id = PickTarget();
     const target_state state{
@@ -120,28 +120,28 @@
       mData.ConsumeIntegralInRange<std::uint32_t>(1, 20)
     };
     known_target& target = mTargets[id];
-    if (!target.mLeaving) {
+    if (!target.mIsLeaving) {
       target.mState = state;
-      target.mServes = true;
+      target.mIsServing = true;
     }
-    mTraffic.TargetUp(state, mNow);
+    mTraffic.OnTargetUp(state, mNow);
   }
 
-  void Leave()
+  void StartTargetLeave()
   {
     const target_id id = PickTarget();
     known_target& target = mTargets[id];
-    target.mLeaving = target.mLeaving || target.mServes;
-    target.mServes = false;
-    mTraffic.TargetLeaving(id, mNow);
+    target.mIsLeaving = target.mIsLeaving || target.mIsServing;
+    target.mIsServing = false;
+    mTraffic.OnTargetLeaving(id, mNow);
   }
 
-  void Go()
+  void RemoveTarget()
   {
     const target_id id = PickTarget();
-    mTargets[id].mServes = false;
-    mTargets[id].mLeaving = false;
-    mTraffic.TargetGone(id, mNow);
+    mTargets[id].mIsServing = false;
+    mTargets[id].mIsLeaving = false;
+    mTraffic.OnTargetGone(id, mNow);
   }
 
   void Arrive()
@@ -158,12 +158,12 @@
     made.mDeadline =
       mNow + milliseconds(mData.ConsumeIntegralInRange(-5, 5000));
     mWaiting.emplace(made.mId, made);
-    Require(mTraffic.Arrive(made, mNow), "a new id is taken");
+    Require(mTraffic.OnArrival(made, mNow), "a new id is accepted");
     CheckDecisions();
     const bool held =
       mWaiting.contains(made.mId) || mRunning.contains(made.mId);
     if (held) {
-      Require(!mTraffic.Arrive(made, mNow), "an id is taken once");
+      Require(!mTraffic.OnArrival(made, mNow), "an id is accepted only once");
     }
   }
 
@@ -171,7 +171,7 @@
   {
     const request_id id = PickRequest();
     Require(mTraffic.Cancel(id, mNow) == (mWaiting.erase(id) > 0),
-            "exactly what waits can be cancelled");
+            "exactly the waiting requests can be cancelled");
   }
 
   void Restore()
@@ -199,7 +199,7 @@
       --mHeld[{ found->second.mOrganisation, found->second.mClass }];
       mRunning.erase(found);
     }
-    mTraffic.Finished(
+    mTraffic.OnFinished(
       aId,
       { aResult, milliseconds(mData.ConsumeIntegralInRange(0, 3000)) },
       mNow);
@@ -231,12 +231,12 @@
     mTraffic.SetPolicy(mPolicy, mNow);
   }
 
-  void Pass()
+  void AdvanceTime()
   {
     mNow += milliseconds(mData.ConsumeIntegralInRange(0, 2000));
-    // A shell may be late with its tick: events come first then.
-    mTicked = mData.ConsumeBool();
-    if (mTicked) {
+    // The owner's tick may be late, so that other events come first.
+    mHasTicked = mData.ConsumeBool();
+    if (mHasTicked) {
       mTraffic.Tick(mNow);
     }
   }
@@ -250,44 +250,47 @@
                             },
                              [&](const refuse& aRefuse) {
                                Require(mWaiting.erase(aRefuse.mId) > 0,
-                                       "one decision for each arrival");
+                                       "each arrival gets one decision");
                                Require(aRefuse.mRetryAfter > duration::zero(),
-                                       "a refusal says when to come back");
+                                       "a refusal gives a retry delay");
                              } },
                  each);
     }
-    if (!mTicked) {
+    if (!mHasTicked) {
       return;
     }
-    mTicked = false;
+    mHasTicked = false;
     for (const auto& [id, waits] : mWaiting) {
-      Require(mNow < waits.mDeadline, "nothing waits past its deadline");
+      Require(mNow < waits.mDeadline, "no request waits past its deadline");
     }
   }
 
   void CheckDispatch(const dispatch& aDispatch, const dispatcher_stats& aStats)
   {
     const auto found = mWaiting.find(aDispatch.mId);
-    Require(found != mWaiting.end(), "only what waits is dispatched, once");
+    Require(found != mWaiting.end(),
+            "only a waiting request is dispatched, and once");
     const arrival request = found->second;
     mWaiting.erase(found);
-    Require(mNow < request.mDeadline, "nothing expired is dispatched");
+    Require(mNow < request.mDeadline, "no expired request is dispatched");
     known_target& target = mTargets.at(aDispatch.mTarget);
-    Require(target.mServes, "nothing new to a target that leaves or is gone");
+    Require(target.mIsServing, "a leaving or gone target gets no request");
     ++target.mHeld;
     Require(target.mHeld <=
               std::min(target.mState.mSlots, target.mState.mConnections),
-            "slots and connections are kept");
+            "slots and connections are not exceeded");
     const auto limit =
       mPolicy.Of(request.mOrganisation, request.mClass).mMaxSlots;
     const std::uint32_t held =
       ++mHeld[{ request.mOrganisation, request.mClass }];
-    Require(!limit || held <= *limit, "an organisation's limit is kept");
+    Require(!limit || held <= *limit,
+            "an organisation's limit is not exceeded");
     for (const target_stats& seen : aStats.mServices.at(0).mTargets) {
       Require(
         seen.mId != aDispatch.mTarget ||
           (seen.mPhase != target_phase::Ejected && seen.mHeld <= seen.mAllowed),
-        "no more than allowed, and nothing to an ejected target");
+        "allowed slots are not exceeded, and an ejected target gets no "
+        "request");
     }
     mRunning.emplace(aDispatch.mId,
                      running_request{ aDispatch.mTarget,
@@ -309,15 +312,15 @@
                 "slots held are those of running attempts");
       }
     }
-    Require(waiting == mWaiting.size(), "nothing that waits is lost");
-    Require(held == mRunning.size(), "nothing that runs is lost");
+    Require(waiting == mWaiting.size(), "no waiting request is lost");
+    Require(held == mRunning.size(), "no running attempt is lost");
     const auto due = mTraffic.NextWake();
     for (const auto& [id, waits] : mWaiting) {
-      Require(due && *due <= waits.mDeadline, "a wake is asked for in time");
+      Require(due && *due <= waits.mDeadline, "a wake-up is requested in time");
     }
   }
 
-  // Everything ends: each arrival has got its decision.
+  // Ends all attempts and checks that each arrival got its decision.
   void Drain()
   {
     while (!mRunning.empty()) {
@@ -326,12 +329,12 @@
     }
     mNow += seconds(100);
     mTraffic.Tick(mNow);
-    mTicked = true;
+    mHasTicked = true;
     CheckDecisions();
     const dispatch_counters& counters = mTraffic.Counters();
     const std::uint64_t refused = std::accumulate(
       counters.mRefused.begin(), counters.mRefused.end(), std::uint64_t{ 0 });
-    Require(mWaiting.empty(), "everything gets its decision");
+    Require(mWaiting.empty(), "every request gets its decision");
     Require(counters.mArrived ==
               counters.mDispatched + counters.mCancelled + refused,
             "arrivals are dispatched, cancelled or refused");
@@ -342,7 +345,7 @@
   share_policy mPolicy;
   time_point mNow{ seconds(1000) };
   std::uint64_t mNext = 0;
-  bool mTicked = false;
+  bool mHasTicked = false;
   std::map<request_id, arrival> mWaiting;
   std::map<request_id, running_request> mRunning;
   std::map<target_id, known_target> mTargets;
--- a/oriolewalk/ledger/request_ledger.cc
+++ b/oriolewalk/ledger/request_ledger.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The key once more in the order of answers, and two allocations.
+// A second copy of the key in the order of answers, and two allocations.
 constexpr std::size_t kAnswerOverhead = 160;
 
 std::size_t
@@ -40,7 +40,7 @@
 request_ledger::Apply(const ledger_command& aCommand, std::int64_t aWallMs)
 {
   mLastWallMs = std::max(mLastWallMs, aWallMs);
-  Forget();
+  EvictExpired();
   return std::visit([this](const auto& aOne) { return ApplyOne(aOne); },
                     aCommand);
 }
@@ -66,13 +66,13 @@
   return running;
 }
 
-std::set<carrier>
-request_ledger::Carriers() const
+std::set<owning_entry>
+request_ledger::Owners() const
 {
-  std::set<carrier> carriers;
+  std::set<owning_entry> owners;
   std::ranges::copy(mRunning | std::views::keys,
-                    std::inserter(carriers, carriers.end()));
-  return carriers;
+                    std::inserter(owners, owners.end()));
+  return owners;
 }
 
 ledger_outcome
@@ -81,7 +81,7 @@
   if (const auto found = mRecords.find(aClaim.mRef); found != mRecords.end()) {
     return ClaimKnown(found->second, aClaim);
   }
-  if (!MakeRoom()) {
+  if (!HasCapacity()) {
     return { verdict::Full, 0, std::nullopt };
   }
   request_record& record = mRecords[aClaim.mRef];
@@ -102,9 +102,9 @@
   if (aRecord.mState != request_state::Running) {
     return { verdict::Known, aRecord.mAttempt, aRecord };
   }
-  // The same claim again, after its grant was lost on the way: the carrier has
-  // not sent it yet (it waits for the grant), so the same grant is right. The
-  // recorded target counts, not the one proposed now.
+  // The same claim again, because its grant was lost in transit. The owner
+  // waits for the grant and has not sent the request yet, so it gets the same
+  // grant. The recorded target is used, not the one proposed now.
   const bool sameClaim = aRecord.mToken == aClaim.mToken;
   return { sameClaim ? verdict::Granted : verdict::InProgress,
            aRecord.mAttempt,
@@ -122,7 +122,7 @@
   aRecord.mDeadlineWallMs = aClaim.mDeadlineWallMs;
   aRecord.mToken = aClaim.mToken;
   aRecord.mPlacement = std::make_shared<placement>(aClaim.mPlacement);
-  mRunning[aClaim.mPlacement.mCarrier].insert(aClaim.mRef);
+  mRunning[aClaim.mPlacement.mOwner].insert(aClaim.mRef);
 }
 
 ledger_outcome
@@ -136,13 +136,13 @@
   if (record.mToken != aFinish.mToken) {
     return { verdict::Ignored, record.mAttempt, record };
   }
-  const bool open = record.mState == request_state::Running;
-  // The carrier was taken for lost and wakes up: it alone knows what became of
-  // its attempt, and what it says replaces "unknown".
-  const bool turnedUp = record.mState == request_state::Unknown &&
-                        aFinish.mResult != attempt_result::Unknown;
-  if (!open && !turnedUp) {
-    // The same report again, or one that adds nothing to what is known.
+  const bool isRunning = record.mState == request_state::Running;
+  // The owner was declared lost but is still alive. It alone knows how its
+  // attempt ended, so its report replaces "unknown".
+  const bool isLateReport = record.mState == request_state::Unknown &&
+                            aFinish.mResult != attempt_result::Unknown;
+  if (!isRunning && !isLateReport) {
+    // The same report again, or one that adds no information.
     return { verdict::Recorded, record.mAttempt, record };
   }
   switch (aFinish.mResult) {
@@ -165,7 +165,7 @@
 {
   const auto found = mRecords.find(aRefusal.mRef);
   if (found == mRecords.end()) {
-    if (!MakeRoom()) {
+    if (!HasCapacity()) {
       return { verdict::Full, 0, std::nullopt };
     }
     const auto made = mRecords.emplace(aRefusal.mRef, request_record{}).first;
@@ -193,13 +193,13 @@
 }
 
 ledger_outcome
-request_ledger::ApplyOne(const carrier_lost& aLost)
+request_ledger::ApplyOne(const owner_lost& aLost)
 {
-  const auto found = mRunning.find(aLost.mCarrier);
+  const auto found = mRunning.find(aLost.mOwner);
   if (found == mRunning.end()) {
     return { verdict::Recorded, 0, std::nullopt };
   }
-  // End() erases from the set that is walked here.
+  // End() erases from the set that is iterated here.
   const std::set<request_ref> refs = found->second;
   for (const request_ref& ref : refs) {
     End(mRecords.find(ref), request_state::Unknown);
@@ -213,7 +213,7 @@
   const request_ref& ref = aWhere->first;
   request_record& record = aWhere->second;
   if (record.mPlacement) {
-    const auto running = mRunning.find(record.mPlacement->mCarrier);
+    const auto running = mRunning.find(record.mPlacement->mOwner);
     running->second.erase(ref);
     if (running->second.empty()) {
       mRunning.erase(running);
@@ -262,7 +262,7 @@
 }
 
 bool
-request_ledger::MayForget(const request_record& aRecord, bool aFull) const
+request_ledger::MayEvict(const request_record& aRecord, bool aFull) const
 {
   if (aRecord.mState == request_state::Running) {
     return false;
@@ -276,24 +276,25 @@
   return aFull || age >= window;
 }
 
-// Looks at a bounded number of the oldest ends for each command, so that one
-// command never pays for a day's backlog. A record that may not go yet is
-// moved to the back: a repeatable one behind it need not wait for it.
+// Checks a bounded number of the oldest ended records for each command, so that
+// no single command has to evict a day's backlog. A record that may not be
+// evicted yet moves to the back, so that a repeatable one behind it need not
+// wait for it.
 void
-request_ledger::Forget()
+request_ledger::EvictExpired()
 {
-  constexpr int kLookedAt = 4;
-  const std::int64_t youngest =
+  constexpr int kMaxChecked = 4;
+  const std::int64_t minWindowMs =
     std::min(mOptions.mMinimumWindowMs, mOptions.mRepeatableMinimumMs);
   const bool full = mRecords.size() >= mOptions.mMaxRecords;
-  for (int looked = 0; looked < kLookedAt && !mEnded.empty(); ++looked) {
+  for (int checked = 0; checked < kMaxChecked && !mEnded.empty(); ++checked) {
     const request_ref* ref = mEnded.front();
     const auto found = mRecords.find(*ref);
-    if (mLastWallMs - found->second.mEndedWallMs < youngest) {
+    if (mLastWallMs - found->second.mEndedWallMs < minWindowMs) {
       return;
     }
     mEnded.pop_front();
-    if (MayForget(found->second, full)) {
+    if (MayEvict(found->second, full)) {
       DropAnswer(found->second);
       mRecords.erase(found);
     } else {
@@ -303,7 +304,7 @@
 }
 
 bool
-request_ledger::MakeRoom()
+request_ledger::HasCapacity()
 {
   return mRecords.size() < mOptions.mMaxRecords;
 }
@@ -332,7 +333,7 @@
   }
   for (const auto& [ref, record] : mRecords) {
     if (record.mPlacement) {
-      mRunning[record.mPlacement->mCarrier].insert(ref);
+      mRunning[record.mPlacement->mOwner].insert(ref);
     }
     mAnswerBytes += AnswerCost(record);
   }
--- a/oriolewalk/traffic/class_queue.cc
+++ b/oriolewalk/traffic/class_queue.cc
@@ -19,13 +19,13 @@
 
 namespace {
 
-// Before the first answer: what a quick request takes. Only fairness rests on
-// it; nothing is refused for it.
-constexpr double kFirstGuess = 0.02;
-// A drain below this is taken as this: the estimate stays finite.
-constexpr double kLeastDrain = 0.01;
-// Idle flows up to this number keep their measured service time.
-constexpr std::size_t kFlowsKept = 1024;
+// Estimate before the first answer, in seconds: a typical short request. It
+// affects only fairness; no request is refused because of it.
+constexpr double kInitialEstimateSeconds = 0.02;
+// Lower bound of the drain, so that the expected wait stays finite.
+constexpr double kMinDrainSlots = 0.01;
+// Up to this many flows keep their measured service time while they are idle.
+constexpr std::size_t kMaxIdleFlows = 1024;
 
 void
 ApplyRule(flow& aFlow, const share_rule& aRule, time_point aNow)
@@ -37,10 +37,10 @@
 } // namespace
 
 flow*
-class_queue::FlowOf(const organisation_id& aOrganisation,
-                    const share_rule& aRule,
-                    std::size_t aMaxFlows,
-                    time_point aNow)
+class_queue::FindOrAddFlow(const organisation_id& aOrganisation,
+                           const share_rule& aRule,
+                           std::size_t aMaxFlows,
+                           time_point aNow)
 {
   const auto found = mFlows.find(aOrganisation);
   if (found != mFlows.end()) {
@@ -69,7 +69,7 @@
   }
   for (flow* each : WaitingFlows()) {
     mOrder.SetWeight(*each, each->mRule.mWeight);
-    Settle(*each);
+    UpdateActivation(*each);
   }
 }
 
@@ -86,7 +86,7 @@
     caller.mWaiting.insert(caller.mWaiting.end(), std::move(aRequest));
   ++aFlow.mWaiting;
   ++mWaiting;
-  Settle(aFlow);
+  UpdateActivation(aFlow);
   return { &aFlow, &caller, place };
 }
 
@@ -102,7 +102,7 @@
     owner.mOrder.Deactivate(caller);
     owner.mCallers.erase(owner.mCallers.find(caller.mKey));
   }
-  Settle(owner);
+  UpdateActivation(owner);
 }
 
 double
@@ -126,7 +126,7 @@
 {
   ++aFlow.mHeld;
   ++mHeld;
-  Settle(aFlow);
+  UpdateActivation(aFlow);
 }
 
 void
@@ -149,7 +149,7 @@
   }
   --aFlow.mHeld;
   --mHeld;
-  Settle(aFlow);
+  UpdateActivation(aFlow);
 }
 
 double
@@ -174,11 +174,11 @@
                     aDrain);
 }
 
-// Callers take turns, so that a request waits for one round of all callers for
-// each request before it in its own queue, and never for more than the whole
-// flow. The flow drains by its share, or by the slots that it holds now: by
-// Little's law those are the slot seconds that it gets each second, lent share
-// included.
+// Callers are served in turn, so a request waits for one round of all callers
+// for each request ahead of it in its own queue, and never for more than the
+// whole flow. The flow drains at its share or at the number of slots that it
+// holds now, whichever is larger: by Little's law the held slots are the slot
+// seconds that it receives per second, including capacity lent by others.
 double
 class_queue::WaitBehind(const flow& aFlow,
                         double aInCaller,
@@ -195,7 +195,7 @@
   if (aFlow.mRule.mMaxSlots) {
     drain = std::min<double>(drain, *aFlow.mRule.mMaxSlots);
   }
-  return ahead * Estimate(aFlow) / std::max(drain, kLeastDrain);
+  return ahead * Estimate(aFlow) / std::max(drain, kMinDrainSlots);
 }
 
 std::size_t
@@ -208,10 +208,10 @@
 double
 class_queue::Estimate(const flow& aFlow) const
 {
-  if (aFlow.mTime.Known()) {
+  if (aFlow.mTime.IsKnown()) {
     return aFlow.mTime.Seconds();
   }
-  return mTime.Known() ? mTime.Seconds() : kFirstGuess;
+  return mTime.IsKnown() ? mTime.Seconds() : kInitialEstimateSeconds;
 }
 
 std::vector<flow*>
@@ -230,16 +230,16 @@
 void
 class_queue::DropIdle(time_point aNow)
 {
-  if (mFlows.size() <= kFlowsKept) {
+  if (mFlows.size() <= kMaxIdleFlows) {
     return;
   }
-  // With nobody waiting nothing is owed to anybody.
-  const bool quiet = mOrder.Nodes().empty();
+  // With no waiting flow, virtual times carry no debt that must be preserved.
+  const bool noneWaiting = mOrder.Nodes().empty();
   std::erase_if(mFlows, [&](const auto& aEntry) {
     const flow& each = *aEntry.second;
     return each.mWaiting == 0 && each.mHeld == 0 &&
-           (quiet || each.mTag.mVirtual <= mOrder.Now()) &&
-           each.mBucket.Full(aNow);
+           (noneWaiting || each.mTag.mVirtual <= mOrder.VirtualTime()) &&
+           each.mBucket.IsFull(aNow);
   });
 }
 
@@ -251,10 +251,10 @@
   return { &aFlow, caller, caller->mWaiting.begin() };
 }
 
-// A flow at its slot limit leaves the order: choosing the next flow then never
-// steps over flows that may not run.
+// A flow at its slot limit leaves the order, so that the choice of the next
+// flow never has to skip flows that may not run.
 void
-class_queue::Settle(flow& aFlow)
+class_queue::UpdateActivation(flow& aFlow)
 {
   const auto limit = aFlow.mRule.mMaxSlots;
   if (aFlow.mWaiting > 0 && (!limit || aFlow.mHeld < *limit)) {
--- a/oriolewalk/traffic/entry_limiter.cc
+++ b/oriolewalk/traffic/entry_limiter.cc
@@ -16,15 +16,15 @@
 
 namespace {
 
-// Fewer sent requests than this say nothing of a caller.
-constexpr double kLeastSent = 10;
+// With fewer sent requests than this, a caller is not throttled.
+constexpr double kMinSent = 10;
 
 } // namespace
 
 entry_limiter::entry_limiter(const entry_options& aOptions, std::uint64_t aSeed)
   : mOptions(aOptions)
   , mRandom(aSeed)
-  , mLimit(aOptions.mFirstLimit)
+  , mLimit(aOptions.mInitialLimit)
 {
 }
 
@@ -43,13 +43,13 @@
 entry_verdict
 entry_limiter::Admit(const entry_request& aRequest, time_point aNow)
 {
-  caller_record* record = RecordOf(aRequest, aNow);
-  if (record != nullptr && Throttled(*record)) {
+  caller_record* record = FindOrAddRecord(aRequest, aNow);
+  if (record != nullptr && ShouldThrottle(*record)) {
     record->mSent += 1;
     return Refuse(refusal::Overloaded);
   }
-  if (OverLimit(aRequest)) {
-    // For control's sake, not for the caller's: not held against it.
+  if (IsOverLimit(aRequest)) {
+    // This refusal protects control and is not counted against the caller.
     return Refuse(refusal::Overloaded);
   }
   auto& calls = mCalls.at(IndexOf(aRequest.mClass));
@@ -62,9 +62,9 @@
 }
 
 void
-entry_limiter::Finished(const entry_request& aRequest,
-                        const control_call& aCall,
-                        time_point aNow)
+entry_limiter::OnFinished(const entry_request& aRequest,
+                          const control_call& aCall,
+                          time_point aNow)
 {
   auto& calls = mCalls.at(IndexOf(aRequest.mClass));
   const auto found = calls.find(aRequest.mOrganisation);
@@ -82,24 +82,24 @@
   Adapt(aCall, aNow);
 }
 
-// A call counts once its result is known: calls in progress, and lost ones, say
-// nothing against the caller.
+// A call counts once its result is known. Calls in progress and lost calls are
+// not counted against the caller.
 void
 entry_limiter::Count(const entry_request& aRequest,
                      call_result aResult,
                      time_point aNow)
 {
   caller_record* record =
-    aResult == call_result::Lost ? nullptr : RecordOf(aRequest, aNow);
+    aResult == call_result::Lost ? nullptr : FindOrAddRecord(aRequest, aNow);
   if (record != nullptr) {
     record->mSent += 1;
     record->mAccepted += aResult == call_result::Accepted ? 1 : 0;
   }
 }
 
-// nullptr if there are too many callers to remember one more.
+// Returns nullptr if the record is new and there are too many callers already.
 entry_limiter::caller_record*
-entry_limiter::RecordOf(const entry_request& aRequest, time_point aNow)
+entry_limiter::FindOrAddRecord(const entry_request& aRequest, time_point aNow)
 {
   std::string key = aRequest.mOrganisation.Value();
   key += '\0';
@@ -107,11 +107,11 @@
   key += aRequest.mCallerKey;
   const auto found = mCallers.find(key);
   if (found != mCallers.end()) {
-    Age(found->second, aNow);
+    Decay(found->second, aNow);
     return &found->second;
   }
   if (mCallers.size() >= kMaxCallers) {
-    Sweep(aNow);
+    EvictIdleCallers(aNow);
   }
   if (mCallers.size() >= kMaxCallers) {
     return nullptr;
@@ -121,54 +121,57 @@
   return &made;
 }
 
-// Linear in the callers, so not more often than half of their counts fade.
+// Linear in the callers, so it runs at most once per half-life of the counts.
 void
-entry_limiter::Sweep(time_point aNow)
+entry_limiter::EvictIdleCallers(time_point aNow)
 {
-  if (aNow - mLastSweep < mOptions.mMemory) {
+  if (aNow - mLastEviction < mOptions.mHalfLife) {
     return;
   }
-  mLastSweep = aNow;
+  mLastEviction = aNow;
   for (auto& [key, record] : mCallers) {
-    Age(record, aNow);
+    Decay(record, aNow);
   }
   std::erase_if(mCallers,
                 [](const auto& aEntry) { return aEntry.second.mSent < 1; });
 }
 
 void
-entry_limiter::Age(caller_record& aRecord, time_point aNow) const
+entry_limiter::Decay(caller_record& aRecord, time_point aNow) const
 {
   const double since = std::max(0.0, ToSeconds(aNow - aRecord.mAt));
-  const double kept = std::exp2(-since / ToSeconds(mOptions.mMemory));
-  aRecord.mSent *= kept;
-  aRecord.mAccepted *= kept;
+  const double remaining = std::exp2(-since / ToSeconds(mOptions.mHalfLife));
+  aRecord.mSent *= remaining;
+  aRecord.mAccepted *= remaining;
   aRecord.mAt = std::max(aRecord.mAt, aNow);
 }
 
 bool
-entry_limiter::Throttled(const caller_record& aRecord)
+entry_limiter::ShouldThrottle(const caller_record& aRecord)
 {
-  if (aRecord.mSent < kLeastSent) {
+  if (aRecord.mSent < kMinSent) {
     return false;
   }
   const double excess =
     aRecord.mSent - (mOptions.mSentPerAccepted * aRecord.mAccepted);
-  // Never all of it: what is sent on is how the entry learns of better times.
-  constexpr double kMost = 0.95;
-  return mRandom.Fraction() < std::min(kMost, excess / (aRecord.mSent + 1));
+  // Never refuses everything: the requests that are still sent show the entry
+  // when control accepts them again.
+  constexpr double kMaxRefusedShare = 0.95;
+  return mRandom.Fraction() <
+         std::min(kMaxRefusedShare, excess / (aRecord.mSent + 1));
 }
 
 bool
-entry_limiter::OverLimit(const entry_request& aRequest) const
+entry_limiter::IsOverLimit(const entry_request& aRequest) const
 {
-  const double part = mLimit * mOptions.mPart.at(IndexOf(aRequest.mClass));
+  const double part =
+    mLimit * mOptions.mClassShare.at(IndexOf(aRequest.mClass));
   const auto used = static_cast<double>(mInProgress);
   const auto& calls = mCalls.at(IndexOf(aRequest.mClass));
   if (used + 1 > part) {
     return aRequest.mClass == work_class::Urgent || !calls.empty();
   }
-  if (used < mLimit * mOptions.mShareFrom) {
+  if (used < mLimit * mOptions.mFairShareThreshold) {
     return false;
   }
   const auto own = calls.find(aRequest.mOrganisation);
@@ -187,15 +190,17 @@
   const bool slow =
     aCall.mResult == call_result::Lost || aCall.mLatency > mOptions.mSlowCall;
   if (!slow) {
-    // Only a limit that is being used can be known to be too low.
+    // The limit grows only while at least half of it is used: otherwise there
+    // is no evidence that it is too low.
     if (static_cast<double>(mInProgress) * 2 >= mLimit) {
-      mLimit = std::min(mLimit + (1 / mLimit), mOptions.mMostLimit);
+      mLimit = std::min(mLimit + (1 / mLimit), mOptions.mMaxLimit);
     }
     return;
   }
-  // Calls that were under way together tell of one and the same moment.
+  // Calls that were in progress together show one overload and decrease the
+  // limit once.
   if (aNow - mLastDecrease >= std::max(aCall.mLatency, mOptions.mSlowCall)) {
-    mLimit = std::max(mLimit * mOptions.mDecrease, mOptions.mLeastLimit);
+    mLimit = std::max(mLimit * mOptions.mDecrease, mOptions.mMinLimit);
     mLastDecrease = aNow;
   }
 }
--- a/oriolewalk/traffic/policy.cc
+++ b/oriolewalk/traffic/policy.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-// A weight of 0 would divide by zero; a tiny one waits, but is served.
+// A weight of 0 would divide by zero; the minimum still gets served.
 share_rule
 Checked(share_rule aRule)
 {
-  constexpr double kLeastWeight = 1e-6;
-  aRule.mWeight = std::max(aRule.mWeight, kLeastWeight);
+  constexpr double kMinWeight = 1e-6;
+  aRule.mWeight = std::max(aRule.mWeight, kMinWeight);
   return aRule;
 }
 
--- a/oriolewalk/traffic/service_pool_admission.cc
+++ b/oriolewalk/traffic/service_pool_admission.cc
@@ -17,19 +17,21 @@
 
 namespace {
 
-// Bounds of "come back after": under the first one, polling would cost more
-// than the answer; over the second one, a recovered system would idle.
-constexpr duration kLeastRetryAfter = milliseconds(50);
-constexpr duration kMostRetryAfter = seconds(5);
-// Until targets have announced themselves.
+// Bounds of the delay after which a refused caller may retry. Below the minimum
+// the retries would cost more than the answer; above the maximum a recovered
+// system would be idle.
+constexpr duration kMinRetryAfter = milliseconds(50);
+constexpr duration kMaxRetryAfter = seconds(5);
+// Used until targets have announced themselves.
 constexpr duration kTargetRetryAfter = milliseconds(500);
-// Queued work is given up once its wait would exceed what is left by this
-// factor: estimates swing, and a request that was let in should not be turned
-// out by a swing.
+// A queued request is refused early once its expected wait exceeds the
+// remaining time by this factor. Estimates fluctuate, and a fluctuation should
+// not refuse a request that was admitted.
 constexpr double kReviewSlack = 2;
 
-// Dynamic threshold: aOwn may be kThreshold times what aUsed leaves of aBound.
-// One that is hot alone fills seven eighths; small bounds are usable whole.
+// Dynamic threshold: aOwn may be up to kThreshold times the unused part of
+// aBound. A single hot sender fills seven eighths; small bounds are fully
+// usable.
 bool
 PastThreshold(std::size_t aOwn, std::size_t aUsed, std::size_t aBound)
 {
@@ -40,52 +42,54 @@
 } // namespace
 
 void
-service_pool::Arrive(const arrival& aArrival,
-                     const share_rule& aRule,
-                     bool aAwaitTargets,
-                     time_point aNow)
+service_pool::OnArrival(const arrival& aArrival,
+                        const share_rule& aRule,
+                        bool aIsAwaitingTargets,
+                        time_point aNow)
 {
   Advance(aNow);
   if (aArrival.mClass == work_class::Urgent) {
-    mOrder.SawUrgent(aNow);
+    mOrder.OnUrgentArrival(aNow);
   }
   if (aNow >= aArrival.mDeadline) {
-    Refuse(aArrival.mId, refusal::Expired, kLeastRetryAfter);
+    Refuse(aArrival.mId, refusal::Expired, kMinRetryAfter);
     return;
   }
-  if (!mTargets.HasTargets() && !aAwaitTargets) {
+  if (!mTargets.HasTargets() && !aIsAwaitingTargets) {
     Refuse(aArrival.mId, refusal::NoTarget, kTargetRetryAfter);
     return;
   }
   class_queue& queue = Queue(aArrival.mClass);
-  flow* owner = queue.FlowOf(
+  flow* owner = queue.FindOrAddFlow(
     aArrival.mOrganisation, aRule, mOptions.mQueue.mMaxFlows, aNow);
   if (owner == nullptr) {
-    Refuse(aArrival.mId, refusal::Overloaded, kMostRetryAfter);
+    Refuse(aArrival.mId, refusal::Overloaded, kMaxRetryAfter);
     return;
   }
-  const admission verdict = Admit(aArrival, *owner, aAwaitTargets, aNow);
+  const admission verdict = Admit(aArrival, *owner, aIsAwaitingTargets, aNow);
   if (verdict.mRefused) {
     Refuse(aArrival.mId, *verdict.mRefused, verdict.mRetryAfter);
     return;
   }
   owner->mBucket.Take(aNow);
-  const waiting_request request = Stamp(aArrival, *owner, aAwaitTargets, aNow);
-  mLatest.emplace(request.mLatestStart, aArrival.mId);
+  const waiting_request request =
+    MakeWaitingRequest(aArrival, *owner, aIsAwaitingTargets, aNow);
+  mByLatestStart.emplace(request.mLatestStart, aArrival.mId);
   mWaiting.emplace(aArrival.mId, queue.Push(*owner, request));
   Place(aNow);
-  // Let in on the hope of a free slot, which suited something else.
+  // The request was admitted because a slot was free, but the slot suited
+  // another request.
   if (owner->mWaiting > WaitingBound(*owner) &&
       mWaiting.contains(aArrival.mId)) {
     Unqueue(aArrival.mId);
-    Refuse(aArrival.mId, refusal::LimitReached, kLeastRetryAfter);
+    Refuse(aArrival.mId, refusal::LimitReached, kMinRetryAfter);
   }
 }
 
 service_pool::admission
 service_pool::Admit(const arrival& aArrival,
                     const flow& aFlow,
-                    bool aAwaitTargets,
+                    bool aIsAwaitingTargets,
                     time_point aNow)
 {
   if (aFlow.mRule.mMaxSlots == 0U) {
@@ -100,9 +104,9 @@
     const double turn = Queue(aArrival.mClass).Estimate(aFlow);
     return { full, FromSeconds(turn) };
   }
-  // With a slot free and nobody before it a request is tried, whatever the
-  // estimate says: else one wrong measurement would shut a flow out for good.
-  if (aAwaitTargets ||
+  // With a free slot and an empty queue a request is tried whatever the
+  // estimate: otherwise one wrong measurement would block a flow permanently.
+  if (aIsAwaitingTargets ||
       (mTargets.HasFree() && Queue(aArrival.mClass).Waiting() == 0)) {
     return {};
   }
@@ -142,7 +146,8 @@
                           time_point aNow) const
 {
   const class_queue& queue = mQueues.at(IndexOf(aArrival.mClass));
-  const double drain = mOrder.Drain(aArrival.mClass, Loads(), mTargets.Slots());
+  const double drain =
+    mOrder.GuaranteedSlots(aArrival.mClass, Loads(), mTargets.Slots());
   const double wait = queue.ExpectedWait(aFlow, aArrival.mCallerKey, drain);
   const double longest =
     ToSeconds(mOptions.mQueue.mMaxWait.at(IndexOf(aArrival.mClass)));
@@ -158,37 +163,39 @@
 }
 
 waiting_request
-service_pool::Stamp(const arrival& aArrival,
-                    const flow& aFlow,
-                    bool aAwaitTargets,
-                    time_point aNow) const
+service_pool::MakeWaitingRequest(const arrival& aArrival,
+                                 const flow& aFlow,
+                                 bool aIsAwaitingTargets,
+                                 time_point aNow) const
 {
-  // Entries held what came while there was no leader: refusing it for the wait
-  // until the targets are known again would make a wave of refusals.
+  // Entries held back the requests that arrived while there was no leader.
+  // Refusing them because targets are not known yet would cause a wave of
+  // refusals.
   const duration ordinary =
     mOptions.mQueue.mMaxWait.at(IndexOf(aArrival.mClass));
   const duration longest =
-    aAwaitTargets ? std::max(ordinary, mOptions.mWarmUp) : ordinary;
-  // At least a moment, so that it is offered to a free slot once.
+    aIsAwaitingTargets ? std::max(ordinary, mOptions.mWarmUp) : ordinary;
+  // At least one tick of the clock, so that the request can take a free slot
+  // once.
   const time_point byDeadline =
     std::max(aArrival.mDeadline - FromSeconds(aFlow.mTime.Seconds()),
              std::min(aNow + duration(1), aArrival.mDeadline));
   if (byDeadline <= aNow + longest) {
-    return { aArrival, aNow, byDeadline, latest_reason::Deadline };
+    return { aArrival, aNow, byDeadline, latest_start_bound::Deadline };
   }
-  return { aArrival, aNow, aNow + longest, latest_reason::MaxWait };
+  return { aArrival, aNow, aNow + longest, latest_start_bound::MaxWait };
 }
 
 void
 service_pool::Expire(time_point aNow)
 {
-  while (!mLatest.empty() && mLatest.begin()->first <= aNow) {
-    const request_id id = mLatest.begin()->second;
+  while (!mByLatestStart.empty() && mByLatestStart.begin()->first <= aNow) {
+    const request_id id = mByLatestStart.begin()->second;
     const waiting_request& request = *mWaiting.at(id).mRequest;
     refusal reason = refusal::Overloaded;
     if (aNow >= request.mArrival.mDeadline) {
       reason = refusal::Expired;
-    } else if (request.mLatestReason == latest_reason::Deadline) {
+    } else if (request.mLatestStartBound == latest_start_bound::Deadline) {
       reason = refusal::CannotMeetDeadline;
     }
     const duration retryAfter =
@@ -203,7 +210,8 @@
 {
   for (const work_class each : kClasses) {
     class_queue& queue = Queue(each);
-    const double drain = mOrder.Drain(each, Loads(), mTargets.Slots());
+    const double drain =
+      mOrder.GuaranteedSlots(each, Loads(), mTargets.Slots());
     std::vector<std::pair<flow*, caller_queue*>> callers;
     for (flow* owner : queue.WaitingFlows()) {
       for (const auto& [turn, caller] : owner->mOrder.Nodes()) {
@@ -216,8 +224,8 @@
   }
 }
 
-// Only the ends of queues are looked at, since the first request of a queue
-// that can be served in time is followed by others that may not.
+// Checks only the last requests of each queue: the first ones can still be
+// served in time when later ones cannot.
 void
 service_pool::ReviewCaller(class_queue& aQueue,
                            flow& aFlow,
@@ -225,8 +233,8 @@
                            double aDrain,
                            time_point aNow)
 {
-  // The last one is kept: removing it would remove the caller, and what has
-  // nobody before it is better left to its latest start.
+  // Keeps the last remaining request: removing it would remove the caller, and
+  // a request at the head of its queue can wait until its latest start time.
   while (aCaller.mWaiting.size() > 1) {
     const waiting_request& last = aCaller.mWaiting.back();
     const double wait = aQueue.ExpectedWaitOfLast(aFlow, aCaller, aDrain);
@@ -234,9 +242,10 @@
     if (wait <= left * kReviewSlack) {
       return;
     }
-    const refusal reason = last.mLatestReason == latest_reason::Deadline
-                             ? refusal::CannotMeetDeadline
-                             : refusal::Overloaded;
+    const refusal reason =
+      last.mLatestStartBound == latest_start_bound::Deadline
+        ? refusal::CannotMeetDeadline
+        : refusal::Overloaded;
     const request_id id = last.mArrival.mId;
     Unqueue(id);
     Refuse(id, reason, FromSeconds(wait - left));
@@ -247,24 +256,25 @@
 service_pool::RefuseAll(refusal aReason, time_point aNow)
 {
   Expire(aNow);
-  while (!mLatest.empty()) {
-    const request_id id = mLatest.begin()->second;
+  while (!mByLatestStart.empty()) {
+    const request_id id = mByLatestStart.begin()->second;
     Unqueue(id);
     Refuse(id, aReason, kTargetRetryAfter);
   }
 }
 
-// What a new policy bars for good is not left to wait for its latest start.
+// Requests that a new policy excludes are refused immediately instead of at
+// their latest start time.
 void
-service_pool::RefuseBarred()
+service_pool::RefuseExcluded()
 {
-  std::vector<request_id> barred;
-  for (const auto& [latest, id] : mLatest) {
+  std::vector<request_id> excluded;
+  for (const auto& [latest, id] : mByLatestStart) {
     if (mWaiting.at(id).mFlow->mRule.mMaxSlots == 0U) {
-      barred.push_back(id);
+      excluded.push_back(id);
     }
   }
-  for (const request_id id : barred) {
+  for (const request_id id : excluded) {
     Unqueue(id);
     Refuse(id, refusal::LimitReached, duration::max());
   }
@@ -273,17 +283,17 @@
 void
 service_pool::Refuse(request_id aId, refusal aReason, duration aRetryAfter)
 {
-  mDecisions.emplace_back(refuse{ aId, aReason, Jittered(aRetryAfter) });
+  mDecisions.emplace_back(refuse{ aId, aReason, WithJitter(aRetryAfter) });
 }
 
-// Spread over a fifth: callers that were refused together must not come back
+// Adds up to a fifth, so that callers that were refused together do not retry
 // together.
 duration
-service_pool::Jittered(duration aRetryAfter) const
+service_pool::WithJitter(duration aRetryAfter) const
 {
   constexpr double kSpread = 0.2;
   const duration bounded =
-    std::clamp(aRetryAfter, kLeastRetryAfter, kMostRetryAfter);
+    std::clamp(aRetryAfter, kMinRetryAfter, kMaxRetryAfter);
   return FromSeconds(ToSeconds(bounded) *
                      (1 + (kSpread * mRandom->Fraction())));
 }
