--- a/oriolewalk/flow/crash_tracker.cc
+++ b/oriolewalk/flow/crash_tracker.cc
@@ -10,20 +10,20 @@
 
 // After this many crashes a task is started alone. Tasks that only ran beside
 // the one that crashes its workers don't reach the limits below before it does.
-constexpr std::uint32_t kPrimeSuspected = 2;
-constexpr std::uint32_t kPrimeCrashes = 3;
-constexpr std::uint32_t kMostSuspected = 3;
+constexpr std::uint32_t kHighSuspectedCrashes = 2;
+constexpr std::uint32_t kHighCrashes = 3;
+constexpr std::uint32_t kMaxSuspectedCrashes = 3;
 // A task is abandoned after this many crashes and unexplained losses, whether
 // or not it had just started, if at least kMinProvenCrashes are crashes.
-constexpr std::uint32_t kMostCrashes = 5;
-constexpr std::uint32_t kLeastProven = 2;
+constexpr std::uint32_t kMaxCrashes = 5;
+constexpr std::uint32_t kMinProvenCrashes = 2;
 
 } // namespace
 
 suspicion
 crash_record::Suspicion() const
 {
-  if (mSuspectedCrashes >= kPrimeSuspected || mCrashes >= kPrimeCrashes) {
+  if (mSuspectedCrashes >= kHighSuspectedCrashes || mCrashes >= kHighCrashes) {
     return suspicion::High;
   }
   return mCrashes > 0 ? suspicion::Low : suspicion::None;
@@ -32,26 +32,26 @@
 std::vector<task_ref>
 crash_tracker::OnCrash(worker_number aWorker,
                        const std::set<run_ref>& aPlaced,
-                       const record_worker_crash& aNote)
+                       const record_worker_crash& aCrash)
 {
-  life_record& life = mLives[aWorker];
-  if (life.mCrashed) {
+  incarnation_record& incarnation = mIncarnations[aWorker];
+  if (incarnation.mCrashed) {
     return {};
   }
-  life.mCrashed = true;
+  incarnation.mCrashed = true;
   std::set<run_ref> runs = aPlaced;
-  runs.merge(life.mLost);
-  life.mLost.clear();
+  runs.merge(incarnation.mLost);
+  incarnation.mLost.clear();
   std::vector<task_ref> counted;
   for (const run_ref& run : runs) {
-    if (std::ranges::count(aNote.mCleared, run) > 0) {
+    if (std::ranges::count(aCrash.mCleared, run) > 0) {
       mRecords.erase(run.mTask);
       continue;
     }
     crash_record& record = mRecords[run.mTask];
     ++record.mCrashes;
     record.mSuspectedCrashes +=
-      std::ranges::count(aNote.mSuspects, run) > 0 ? 1 : 0;
+      std::ranges::count(aCrash.mSuspects, run) > 0 ? 1 : 0;
     counted.push_back(run.mTask);
   }
   return counted;
@@ -61,7 +61,7 @@
 crash_tracker::OnRunsLost(worker_number aWorker, std::span<const run_ref> aRuns)
 {
   if (!HasCrashed(aWorker)) { // otherwise the crash counted them
-    mLives[aWorker].mLost.insert(aRuns.begin(), aRuns.end());
+    mIncarnations[aWorker].mLost.insert(aRuns.begin(), aRuns.end());
   }
 }
 
@@ -69,11 +69,11 @@
 crash_tracker::OnWorkerRemoved(worker_number aWorker)
 {
   std::vector<task_ref> counted;
-  const auto life = mLives.extract(aWorker);
-  if (life.empty()) {
+  const auto incarnation = mIncarnations.extract(aWorker);
+  if (incarnation.empty()) {
     return counted;
   }
-  for (const run_ref& run : life.mapped().mLost) {
+  for (const run_ref& run : incarnation.mapped().mLost) {
     ++mRecords[run.mTask].mUnexplainedLosses;
     counted.push_back(run.mTask);
   }
@@ -83,9 +83,9 @@
 void
 crash_tracker::OnWorkerReturn(worker_number aWorker)
 {
-  const auto found = mLives.find(aWorker);
-  if (found != mLives.end() && !found->second.mCrashed) {
-    mLives.erase(found);
+  const auto found = mIncarnations.find(aWorker);
+  if (found != mIncarnations.end() && !found->second.mCrashed) {
+    mIncarnations.erase(found);
   }
 }
 
@@ -116,31 +116,31 @@
 {
   const crash_record* record = Find(aTask);
   return record != nullptr &&
-         (record->mSuspectedCrashes >= kMostSuspected ||
-          (record->mCrashes >= kLeastProven &&
-           record->mCrashes + record->mUnexplainedLosses >= kMostCrashes));
+         (record->mSuspectedCrashes >= kMaxSuspectedCrashes ||
+          (record->mCrashes >= kMinProvenCrashes &&
+           record->mCrashes + record->mUnexplainedLosses >= kMaxCrashes));
 }
 
 bool
 crash_tracker::HasCrashed(worker_number aWorker) const
 {
-  const auto found = mLives.find(aWorker);
-  return found != mLives.end() && found->second.mCrashed;
+  const auto found = mIncarnations.find(aWorker);
+  return found != mIncarnations.end() && found->second.mCrashed;
 }
 
 bool
 crash_tracker::HasLostRuns(worker_number aWorker) const
 {
-  const auto found = mLives.find(aWorker);
-  return found != mLives.end() && !found->second.mLost.empty();
+  const auto found = mIncarnations.find(aWorker);
+  return found != mIncarnations.end() && !found->second.mLost.empty();
 }
 
 std::map<task_ref, std::uint32_t>
 crash_tracker::UnresolvedLosses() const
 {
   std::map<task_ref, std::uint32_t> losses;
-  for (const auto& [worker, life] : mLives) {
-    for (const run_ref& run : life.mLost) {
+  for (const auto& [worker, incarnation] : mIncarnations) {
+    for (const run_ref& run : incarnation.mLost) {
       ++losses[run.mTask];
     }
   }
--- a/oriolewalk/flow/crash_tracker.h
+++ b/oriolewalk/flow/crash_tracker.h
@@ -62,7 +62,7 @@
   // was counted before.
   std::vector<task_ref> OnCrash(worker_number aWorker,
                                 const std::set<run_ref>& aPlaced,
-                                const record_worker_crash& aNote);
+                                const record_worker_crash& aCrash);
   // The runs were withdrawn because the worker is unreachable.
   void OnRunsLost(worker_number aWorker, std::span<const run_ref> aRuns);
   // The worker was only silent: its lost runs don't count as crashes.
@@ -70,7 +70,7 @@
   // The worker was removed and had not been heard from again. Returns the tasks
   // that were lost with it.
   std::vector<task_ref> OnWorkerRemoved(worker_number aWorker);
-  void ForgetWorker(worker_number aWorker) { mLives.erase(aWorker); }
+  void ForgetWorker(worker_number aWorker) { mIncarnations.erase(aWorker); }
   void ForgetJob(const job_id& aJob);
 
   // Returns null if the task ran at no worker that crashed.
@@ -90,11 +90,11 @@
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
   {
-    aArchive(mRecords, mLives);
+    aArchive(mRecords, mIncarnations);
   }
 
 private:
-  struct life_record
+  struct incarnation_record
   {
     bool mCrashed = false;
     std::set<run_ref> mLost;
@@ -108,7 +108,7 @@
 
   std::map<task_ref, crash_record> mRecords;
   // Only the incarnations with a loss or a crash.
-  std::map<worker_number, life_record> mLives;
+  std::map<worker_number, incarnation_record> mIncarnations;
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/flow_core.cc
+++ b/oriolewalk/flow/flow_core.cc
@@ -9,12 +9,12 @@
 namespace {
 
 // The interval at which the leader checks the group's members.
-constexpr milliseconds kTendEvery{ 250 };
+constexpr milliseconds kMemberCheckInterval{ 250 };
 // A voter that has been silent for this long may be replaced by a joining node.
-constexpr milliseconds kReplaceAfter{ 2'500 };
+constexpr milliseconds kReplaceVoterAfter{ 2'500 };
 // A voter that has been silent for this long, which exceeds any restart, is
 // removed.
-constexpr seconds kRemoveAfter{ 20 };
+constexpr seconds kRemoveVoterAfter{ 20 };
 // A learner that dies while it replaces a voter keeps the next joining node
 // from doing so. Since a learner counts in no majority, it is removed after a
 // silence that exceeds any pause but is shorter than a restart.
@@ -26,14 +26,15 @@
 } // namespace
 
 std::size_t
-MaxVoters(std::uint32_t aLostInstances, bool aLosesPlaces)
+MaxVoters(std::uint32_t aLostInstances, bool aMayLoseDataCentre)
 {
-  constexpr std::size_t kLeast = 3;
-  constexpr std::size_t kMost = 9;
-  if (aLostInstances == 0 || aLosesPlaces) {
-    return kMost;
+  constexpr std::size_t kMinVoters = 3;
+  constexpr std::size_t kMaxVoters = 9;
+  if (aLostInstances == 0 || aMayLoseDataCentre) {
+    return kMaxVoters;
   }
-  return std::clamp(2 * std::size_t{ aLostInstances } + 1, kLeast, kMost);
+  return std::clamp(
+    2 * std::size_t{ aLostInstances } + 1, kMinVoters, kMaxVoters);
 }
 
 flow_core::flow_core(flow_config aConfig)
@@ -57,8 +58,8 @@
         !read) {
       return Fail(read.error());
     }
-    core->mApplied = aRestored.mSnapshot->mIndex;
-    core->mSnapshotAt = core->mApplied;
+    core->mAppliedIndex = aRestored.mSnapshot->mIndex;
+    core->mSnapshotIndex = core->mAppliedIndex;
   }
   core->mRaft = std::make_unique<consensus::raft_node>(aConfig.mSelf,
                                                        aConfig.mRaft,
@@ -66,7 +67,7 @@
                                                        aConfig.mInitialMembers,
                                                        aSeed,
                                                        aNow);
-  core->mTickedAt = aNow;
+  core->mLastTickAt = aNow;
   return core;
 }
 
@@ -74,8 +75,8 @@
 flow_core::SetTime(instant aAt)
 {
   mAt = aAt;
-  if (mLeading) {
-    mLeading->SetTime(aAt);
+  if (mLeader) {
+    mLeader->SetTime(aAt);
   }
 }
 
@@ -95,12 +96,14 @@
                Answer(aCall, Fail(aError));
              },
            .mLogDecision =
-             [this](decision aNote) { mNotes.push_back(std::move(aNote)); },
-           .mMembers = [this]() { return HeardMembers(); } };
+             [this](decision aDecision) {
+               mDecisions.push_back(std::move(aDecision));
+             },
+           .mMembers = [this]() { return ReachableMembers(); } };
 }
 
 std::vector<std::string>
-flow_core::HeardMembers() const
+flow_core::ReachableMembers() const
 {
   std::vector<std::string> addresses{ mConfig.mAddress };
   for (const consensus::peer_status& peer : mRaft->Peers()) {
@@ -147,19 +150,19 @@
                          instant aAt)
 {
   SetTime(aAt);
-  mOpen.insert(aCall);
-  UpdateLeading();
+  mOpenCalls.insert(aCall);
+  UpdateLeader();
   // A leader that can't be certain that it still leads answers no request:
   // another leader may have accepted changes that it doesn't know.
-  if (!mLeading || !mRaft->MayServe(aAt.mNow)) {
+  if (!mLeader || !mRaft->MayServe(aAt.mNow)) {
     const std::string leader = mRaft->IsLeader() ? "" : LeaderAddress();
     Answer(aCall, Fail(error{ error_code::NotLeader, "ask", {}, leader }));
     return;
   }
   if (const auto* join = std::get_if<join_request>(&aRequest)) {
-    TakeIn(*join);
+    Admit(*join);
   }
-  mLeading->HandleRequest(aCall, aRequest);
+  mLeader->HandleRequest(aCall, aRequest);
 }
 
 void
@@ -168,8 +171,8 @@
                          instant aAt)
 {
   SetTime(aAt);
-  if (mLeading) {
-    mLeading->OnOrderAnswer(aOrder, aAnswer);
+  if (mLeader) {
+    mLeader->OnOrderAnswer(aOrder, aAnswer);
   }
 }
 
@@ -179,8 +182,8 @@
                           instant aAt)
 {
   SetTime(aAt);
-  if (mLeading) {
-    mLeading->OnAdviceAnswer(aOrder, aAnswer);
+  if (mLeader) {
+    mLeader->OnAdviceAnswer(aOrder, aAnswer);
   }
 }
 
@@ -188,22 +191,22 @@
 flow_core::OnRelayFailure(const std::string& aAddress, instant aAt)
 {
   SetTime(aAt);
-  if (mLeading) {
-    mLeading->OnRelayFailure(aAddress);
+  if (mLeader) {
+    mLeader->OnRelayFailure(aAddress);
   }
 }
 
 bool
 flow_core::Propose(command_body aBody, leader_port::on_applied aThen)
 {
-  const auto place =
+  const auto position =
     mRaft->Propose(Encode(command{ mAt.mWallMs, std::move(aBody) }), mAt.mNow);
-  if (!place) {
+  if (!position) {
     return false;
   }
   if (aThen) {
-    mProposed.insert_or_assign(place->mIndex,
-                               proposed{ place->mTerm, std::move(aThen) });
+    mProposals.insert_or_assign(position->mIndex,
+                                proposal{ position->mTerm, std::move(aThen) });
   }
   return true;
 }
@@ -211,7 +214,7 @@
 void
 flow_core::Answer(call_number aCall, result<flow_answer> aAnswer)
 {
-  if (mOpen.erase(aCall) != 0) {
+  if (mOpenCalls.erase(aCall) != 0) {
     mReplies.push_back({ aCall, std::move(aAnswer) });
   }
 }
@@ -224,17 +227,17 @@
   if (mRaft->Leader()) {
     mLeaderHeardAt = aAt.mNow;
   }
-  NoteLed();
-  UpdateLeading();
-  if (!mLeading) {
+  UpdateLedUntil();
+  UpdateLeader();
+  if (!mLeader) {
     return;
   }
   if (mRaft->MayServe(aAt.mNow)) {
-    mLeading->Tick();
+    mLeader->Tick();
   }
-  if (aAt.mNow >= mMembersAt + kTendEvery) {
-    mMembersAt = aAt.mNow;
-    TendMembers();
+  if (aAt.mNow >= mMembersCheckedAt + kMemberCheckInterval) {
+    mMembersCheckedAt = aAt.mNow;
+    MaintainMembers();
   }
 }
 
@@ -242,13 +245,13 @@
 // been silent for longer than a restart takes, so that they don't count in
 // majorities.
 void
-flow_core::TendMembers()
+flow_core::MaintainMembers()
 {
   const consensus::membership members = mRaft->Members();
   for (const consensus::member& learner : members.mLearners) {
     if (!learner.mPromote && members.mVoters.size() < mConfig.mMaxVoters &&
         mRaft->Promote(learner.mId, mAt.mNow)) {
-      mNotes.push_back(
+      mDecisions.push_back(
         { "member.promoted", { { "address", learner.mAddress } } });
       return;
     }
@@ -256,13 +259,13 @@
   for (const consensus::peer_status& peer : mRaft->Peers()) {
     const consensus::member* member = members.Find(peer.mId);
     const duration bound =
-      peer.mVoter ? duration(kRemoveAfter) : duration(kRemoveLearnerAfter);
-    if (member == nullptr || SilenceOf(peer) < bound) {
+      peer.mVoter ? duration(kRemoveVoterAfter) : duration(kRemoveLearnerAfter);
+    if (member == nullptr || SilenceDuration(peer) < bound) {
       continue;
     }
     const std::string address = member->mAddress;
     if (mRaft->Remove(peer.mId, mAt.mNow)) {
-      mNotes.push_back({ "member.removed", { { "address", address } } });
+      mDecisions.push_back({ "member.removed", { { "address", address } } });
       return;
     }
   }
@@ -272,22 +275,23 @@
 // of its leadership at the earliest; otherwise it would remove peers that
 // answer slightly later than the others.
 duration
-flow_core::SilenceOf(const consensus::peer_status& aPeer) const
+flow_core::SilenceDuration(const consensus::peer_status& aPeer) const
 {
-  return mAt.mNow - std::max(aPeer.mHeardAt, mLeadingSince);
+  return mAt.mNow - std::max(aPeer.mHeardAt, mLeaderSince);
 }
 
 void
-flow_core::TakeIn(const join_request& aJoin)
+flow_core::Admit(const join_request& aJoin)
 {
   const consensus::node_id id(aJoin.mNode);
   if (mRaft->Members().Find(id) != nullptr) {
     return;
   }
   for (const consensus::peer_status& peer : mRaft->Peers()) {
-    if (peer.mVoter && SilenceOf(peer) >= kReplaceAfter &&
+    if (peer.mVoter && SilenceDuration(peer) >= kReplaceVoterAfter &&
         mRaft->Replace(peer.mId, id, aJoin.mAddress, mAt.mNow)) {
-      mNotes.push_back({ "member.joins", { { "address", aJoin.mAddress } } });
+      mDecisions.push_back(
+        { "member.joins", { { "address", aJoin.mAddress } } });
       return;
     }
   }
@@ -297,7 +301,7 @@
   }
   // Refused while another change is in progress; the node requests it again.
   if (mRaft->AddLearner(id, aJoin.mAddress, mAt.mNow)) {
-    mNotes.push_back({ "member.joins", { { "address", aJoin.mAddress } } });
+    mDecisions.push_back({ "member.joins", { { "address", aJoin.mAddress } } });
   }
 }
 
@@ -312,21 +316,21 @@
 // The leader_core exists while this node leads and has applied an entry of its
 // own term: the state then contains everything that was ever acknowledged.
 void
-flow_core::UpdateLeading()
+flow_core::UpdateLeader()
 {
-  const bool sameTerm = mRaft->IsLeader() && mLeadingTerm == mRaft->Term();
-  if (mLeading && !sameTerm) {
+  const bool sameTerm = mRaft->IsLeader() && mLeaderTerm == mRaft->Term();
+  if (mLeader && !sameTerm) {
     StepDown();
   }
   const auto barrier = mRaft->ReadBarrier();
-  const bool leads = mRaft->IsLeader() && barrier && mApplied >= *barrier;
-  if (!mLeading && leads) {
-    mLeadingTerm = mRaft->Term();
-    mLeadingSince = mAt.mNow;
-    mLeading = std::make_unique<leader_core>(
-      mState, mConfig.mFlow, Port(), mLeadingTerm, mAt, mLedUntil);
-    mNotes.push_back(
-      { "leading", { { "term", std::to_string(mLeadingTerm) } } });
+  const bool leads = mRaft->IsLeader() && barrier && mAppliedIndex >= *barrier;
+  if (!mLeader && leads) {
+    mLeaderTerm = mRaft->Term();
+    mLeaderSince = mAt.mNow;
+    mLeader = std::make_unique<leader_core>(
+      mState, mConfig.mFlow, Port(), mLeaderTerm, mAt, mLedUntil);
+    mDecisions.push_back(
+      { "leading", { { "term", std::to_string(mLeaderTerm) } } });
   }
 }
 
@@ -335,18 +339,18 @@
 // one heartbeat interval. After this process was suspended it receives messages
 // that were sent long ago and would take them for new, so these don't count.
 void
-flow_core::NoteLed()
+flow_core::UpdateLedUntil()
 {
-  constexpr milliseconds kPause{ 1'000 };
-  if (mAt.mNow >= mTickedAt + kPause) {
-    mReadsOldUntil = mAt.mNow + kPause;
+  constexpr milliseconds kMaxTickGap{ 1'000 };
+  if (mAt.mNow >= mLastTickAt + kMaxTickGap) {
+    mIgnoreContactUntil = mAt.mNow + kMaxTickGap;
   }
-  mTickedAt = mAt.mNow;
+  mLastTickAt = mAt.mNow;
   const std::optional<time_point> heard = mRaft->HeardLeaderAt();
   std::optional<time_point> led;
-  if (mLeading && mRaft->MayServe(mAt.mNow)) {
+  if (mLeader && mRaft->MayServe(mAt.mNow)) {
     led = mAt.mNow;
-  } else if (heard && *heard > mReadsOldUntil) {
+  } else if (heard && *heard > mIgnoreContactUntil) {
     led = heard;
   }
   if (!led || *led <= mLedAt) {
@@ -366,11 +370,11 @@
 void
 flow_core::StepDown()
 {
-  mLeading.reset();
-  mProposed.clear();
-  mNotes.push_back(
-    { "stepped.down", { { "term", std::to_string(mLeadingTerm) } } });
-  const std::set<call_number> open = mOpen;
+  mLeader.reset();
+  mProposals.clear();
+  mDecisions.push_back(
+    { "stepped.down", { { "term", std::to_string(mLeaderTerm) } } });
+  const std::set<call_number> open = mOpenCalls;
   for (const call_number call : open) {
     Answer(call, Fail(error_code::Timeout, "ask", "the leader stepped down"));
   }
@@ -381,58 +385,59 @@
 {
   SetTime(aAt);
   flow_effects out;
-  UpdateLeading();
-  const bool serves = mLeading && mRaft->MayServe(aAt.mNow);
-  if (serves) {
-    mLeading->PlanIfDue();
+  UpdateLeader();
+  const bool mayServe = mLeader && mRaft->MayServe(aAt.mNow);
+  if (mayServe) {
+    mLeader->PlanIfDue();
   }
   out.mRaft = mRaft->TakeEffects();
   if (out.mRaft.mSnapshot) {
     if (const auto read = mState.Restore(out.mRaft.mSnapshot->mState); !read) {
-      mBroken = read.error();
+      mFatalError = read.error();
     }
-    mApplied = out.mRaft.mSnapshot->mIndex;
-    mSnapshotAt = mApplied;
+    mAppliedIndex = out.mRaft.mSnapshot->mIndex;
+    mSnapshotIndex = mAppliedIndex;
   }
   for (const consensus::log_entry& entry : out.mRaft.mCommitted) {
     ApplyEntry(entry);
   }
-  if (!mSnapshotUnderWay && mApplied - mSnapshotAt >= mConfig.mSnapshotEvery) {
+  if (!mIsSnapshotInProgress &&
+      mAppliedIndex - mSnapshotIndex >= mConfig.mSnapshotEvery) {
     StartSnapshot();
   }
   // Orders grant leases, so only a leader that may serve sends them.
-  if (mLeading && mRaft->MayServe(aAt.mNow)) {
-    out.mOrders = mLeading->TakeOrders();
-    out.mAdviceCalls = mLeading->TakeAdviceCalls();
+  if (mLeader && mRaft->MayServe(aAt.mNow)) {
+    out.mOrders = mLeader->TakeOrders();
+    out.mAdviceCalls = mLeader->TakeAdviceCalls();
   }
-  out.mSnapshot = std::exchange(mToStore, nullptr);
+  out.mSnapshot = std::exchange(mSnapshotToStore, nullptr);
   out.mReplies = std::exchange(mReplies, {});
-  out.mDecisions = std::exchange(mNotes, {});
-  out.mFatalError = mBroken;
+  out.mDecisions = std::exchange(mDecisions, {});
+  out.mFatalError = mFatalError;
   return out;
 }
 
 void
 flow_core::ApplyEntry(const consensus::log_entry& aEntry)
 {
-  mApplied = aEntry.mIndex;
+  mAppliedIndex = aEntry.mIndex;
   if (aEntry.mKind != consensus::entry_kind::Command) {
     return;
   }
   const auto decoded = Decode<command>(aEntry.mPayload, "applying the log");
   if (!decoded) {
     // Skipping the entry would make this replica diverge unnoticed.
-    mBroken = decoded.error();
+    mFatalError = decoded.error();
     return;
   }
   const apply_outcome outcome = mState.Apply(*decoded);
   leader_port::on_applied then;
-  if (auto found = mProposed.extract(aEntry.mIndex);
+  if (auto found = mProposals.extract(aEntry.mIndex);
       !found.empty() && found.mapped().mTerm == aEntry.mTerm) {
     then = std::move(found.mapped().mThen);
   }
-  if (mLeading) {
-    mLeading->OnApplied(decoded->mBody, outcome);
+  if (mLeader) {
+    mLeader->OnApplied(decoded->mBody, outcome);
     if (then) {
       then(outcome);
     }
@@ -442,20 +447,21 @@
 void
 flow_core::StartSnapshot()
 {
-  auto made = mRaft->MakeSnapshot(mApplied, mState.Save());
+  auto made = mRaft->MakeSnapshot(mAppliedIndex, mState.Save());
   if (!made) {
-    mBroken = made.error();
+    mFatalError = made.error();
     return;
   }
-  mSnapshotUnderWay = true;
-  mToStore = std::make_shared<const consensus::snapshot>(std::move(*made));
+  mIsSnapshotInProgress = true;
+  mSnapshotToStore =
+    std::make_shared<const consensus::snapshot>(std::move(*made));
 }
 
 void
 flow_core::SnapshotStored(const consensus::snapshot& aSnapshot)
 {
-  mSnapshotUnderWay = false;
-  mSnapshotAt = aSnapshot.mIndex;
+  mIsSnapshotInProgress = false;
+  mSnapshotIndex = aSnapshot.mIndex;
   mRaft->Compact(aSnapshot);
 }
 
--- a/oriolewalk/flow/flow_core.h
+++ b/oriolewalk/flow/flow_core.h
@@ -118,48 +118,49 @@
   void SetTime(instant aAt);
   bool Propose(command_body aBody, leader_port::on_applied aThen);
   void Answer(call_number aCall, result<flow_answer> aAnswer);
-  void UpdateLeading();
-  void NoteLed();
+  void UpdateLeader();
+  void UpdateLedUntil();
   void StepDown();
   void ApplyEntry(const consensus::log_entry& aEntry);
   void StartSnapshot();
-  void TendMembers();
-  void TakeIn(const join_request& aJoin);
-  [[nodiscard]] duration SilenceOf(const consensus::peer_status& aPeer) const;
-  [[nodiscard]] std::vector<std::string> HeardMembers() const;
+  void MaintainMembers();
+  void Admit(const join_request& aJoin);
+  [[nodiscard]] duration SilenceDuration(
+    const consensus::peer_status& aPeer) const;
+  [[nodiscard]] std::vector<std::string> ReachableMembers() const;
   leader_port Port();
 
   flow_config mConfig;
   std::unique_ptr<consensus::raft_node> mRaft;
   flow_state mState;
-  std::unique_ptr<leader_core> mLeading;
-  consensus::term_t mLeadingTerm = 0;
-  time_point mLeadingSince{};
+  std::unique_ptr<leader_core> mLeader;
+  consensus::term_t mLeaderTerm = 0;
+  time_point mLeaderSince{};
   time_point mLedUntil = time_point::min(); // min(): unknown
   // The last contact with a leader, and the first one in that leader's term.
   time_point mLedAt{};
   time_point mLedSince{};
   std::uint64_t mLedTerm = 0;
-  time_point mTickedAt{};
-  time_point mReadsOldUntil = time_point::min();
-  consensus::log_index mApplied = 0;
-  consensus::log_index mSnapshotAt = 0;
-  bool mSnapshotUnderWay = false;
+  time_point mLastTickAt{};
+  time_point mIgnoreContactUntil = time_point::min();
+  consensus::log_index mAppliedIndex = 0;
+  consensus::log_index mSnapshotIndex = 0;
+  bool mIsSnapshotInProgress = false;
   instant mAt;
   time_point mLeaderHeardAt{};
-  time_point mMembersAt{};
-  struct proposed
+  time_point mMembersCheckedAt{};
+  struct proposal
   {
     consensus::term_t mTerm = 0;
     leader_port::on_applied mThen;
   };
-  std::map<consensus::log_index, proposed> mProposed;
-  std::set<call_number> mOpen; // requests without an answer
+  std::map<consensus::log_index, proposal> mProposals;
+  std::set<call_number> mOpenCalls; // requests without an answer
 
   std::vector<flow_reply> mReplies;
-  std::vector<decision> mNotes;
-  std::shared_ptr<const consensus::snapshot> mToStore;
-  std::optional<error> mBroken;
+  std::vector<decision> mDecisions;
+  std::shared_ptr<const consensus::snapshot> mSnapshotToStore;
+  std::optional<error> mFatalError;
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/flow_state.cc
+++ b/oriolewalk/flow/flow_state.cc
@@ -46,7 +46,7 @@
 };
 
 // The format of snapshots from before crashes were counted.
-struct former_saved_state
+struct saved_state_without_crashes
 {
   saved_state mState;
 
@@ -164,7 +164,7 @@
 }
 
 void
-flow_state::placed_book::Add(const run_ref& aRun, const step_spec& aStep)
+flow_state::placed_runs::Add(const run_ref& aRun, const step_spec& aStep)
 {
   mRuns.insert(aRun);
   mAmounts.mBooked += aStep.Booked();
@@ -174,7 +174,7 @@
 }
 
 void
-flow_state::placed_book::Remove(const run_ref& aRun, const step_spec& aStep)
+flow_state::placed_runs::Remove(const run_ref& aRun, const step_spec& aStep)
 {
   mRuns.erase(aRun);
   mAmounts.mBooked -= aStep.Booked();
@@ -213,13 +213,13 @@
 const queue_row&
 flow_state::QueueOf(const job_record& aJob) const
 {
-  const auto found = mQueuePlaces.find(aJob.mQueue.mName);
-  return found == mQueuePlaces.end() ? aJob.mQueue
-                                     : mTable.mQueues[found->second];
+  const auto found = mQueueIndexes.find(aJob.mQueue.mName);
+  return found == mQueueIndexes.end() ? aJob.mQueue
+                                      : mTable.mQueues[found->second];
 }
 
 std::uint32_t
-flow_state::MostAttempts(const job_record& aJob) const
+flow_state::MaxAttempts(const job_record& aJob) const
 {
   return std::max(QueueOf(aJob).mMaxAttempts, 1U);
 }
@@ -309,21 +309,21 @@
 bool
 flow_state::Start(const run_start& aStart)
 {
-  const task_ref& place = aStart.mRun.mTask;
-  const auto found = mJobs.find(place.mJob);
+  const task_ref& ref = aStart.mRun.mTask;
+  const auto found = mJobs.find(ref.mJob);
   const worker_record* worker = FindWorker(aStart.mWorker);
   if (found == mJobs.end() || !found->second.IsActive() || worker == nullptr ||
       worker->mDraining || mCrashes.HasCrashed(aStart.mWorker)) {
     return false;
   }
   job_record& job = found->second;
-  task_record* task = Task(job, place);
+  task_record* task = Task(job, ref);
   if (task == nullptr || task->mPhase != task_phase::Waiting ||
       aStart.mRun.mAttempt <= task->mAttempt) {
     return false;
   }
-  occurrence_record& occurrence = job.mOccurrences.at(place.mOccurrence);
-  if (!AreDependenciesDone(job, occurrence, place.mStep)) {
+  occurrence_record& occurrence = job.mOccurrences.at(ref.mOccurrence);
+  if (!AreDependenciesDone(job, occurrence, ref.mStep)) {
     return false;
   }
   task->mPhase = task_phase::Placed;
@@ -332,7 +332,7 @@
   occurrence.mHasStarted = true;
   job.mHasStarted = true;
   ++job.mPlacedRuns;
-  mPlaced[aStart.mWorker].Add(aStart.mRun, job.mSpec.mSteps[place.mStep]);
+  mPlaced[aStart.mWorker].Add(aStart.mRun, job.mSpec.mSteps[ref.mStep]);
   return true;
 }
 
@@ -346,10 +346,10 @@
   task->mPhase = step.IsDone() ? task_phase::Done : task_phase::Waiting;
   task->mWorker = 0;
   --job.mPlacedRuns;
-  const auto book = mPlaced.find(aWorker);
-  book->second.Remove(aRun, job.mSpec.mSteps[aRun.mTask.mStep]);
-  if (book->second.mRuns.empty()) {
-    mPlaced.erase(book);
+  const auto placed = mPlaced.find(aWorker);
+  placed->second.Remove(aRun, job.mSpec.mSteps[aRun.mTask.mStep]);
+  if (placed->second.mRuns.empty()) {
+    mPlaced.erase(placed);
   }
   UpdateLive(aRun.mTask.mJob, job);
 }
@@ -378,13 +378,12 @@
   if (!IsPlaced(aEnd.mRun, aWorker)) {
     return; // reported again, or its attempt was withdrawn
   }
-  const task_ref& place = aEnd.mRun.mTask;
-  job_record& job = mJobs.at(place.mJob);
+  const task_ref& ref = aEnd.mRun.mTask;
+  job_record& job = mJobs.at(ref.mJob);
   Release(aEnd.mRun, aWorker);
-  step_record& step =
-    job.mOccurrences.at(place.mOccurrence).mSteps[place.mStep];
+  step_record& step = job.mOccurrences.at(ref.mOccurrence).mSteps[ref.mStep];
   if (job.IsActive() && !step.IsDone()) {
-    CountEnd(aEnd, job, step, job.mSpec.mSteps[place.mStep], aWallMs, aOutcome);
+    CountEnd(aEnd, job, step, job.mSpec.mSteps[ref.mStep], aWallMs, aOutcome);
   }
 }
 
@@ -451,7 +450,7 @@
   } else {
     failures = ++aStep.mTasks[aRun.mTask.mIndex].mFailures;
   }
-  if (failures >= MostAttempts(aJob)) {
+  if (failures >= MaxAttempts(aJob)) {
     EndJob(aRun.mTask.mJob, aJob, job_state::Failed, aWallMs, aOutcome);
   }
 }
@@ -528,11 +527,11 @@
 }
 
 apply_outcome
-flow_state::On(const mark_runs_lost& aLose, std::int64_t /*aWallMs*/)
+flow_state::On(const mark_runs_lost& aLost, std::int64_t /*aWallMs*/)
 {
-  const std::vector<run_ref> lost = ReleaseAll(aLose.mWorker, aLose.mRuns);
+  const std::vector<run_ref> lost = ReleaseAll(aLost.mWorker, aLost.mRuns);
   if (!lost.empty()) {
-    mCrashes.OnRunsLost(aLose.mWorker, lost);
+    mCrashes.OnRunsLost(aLost.mWorker, lost);
   }
   return {};
 }
@@ -553,15 +552,15 @@
   apply_outcome outcome;
   for (const task_ref& task :
        mCrashes.OnCrash(aCrash.mWorker, RunsAt(aCrash.mWorker), aCrash)) {
-    GiveUpIfCrashing(task, aWallMs, outcome);
+    FailJobIfCrashing(task, aWallMs, outcome);
   }
   return outcome;
 }
 
 void
-flow_state::GiveUpIfCrashing(const task_ref& aTask,
-                             std::int64_t aWallMs,
-                             apply_outcome& aOutcome)
+flow_state::FailJobIfCrashing(const task_ref& aTask,
+                              std::int64_t aWallMs,
+                              apply_outcome& aOutcome)
 {
   const step_record* step = FindStepRecord(aTask);
   if (step == nullptr || step->IsDone() || !mCrashes.ShouldAbandon(aTask) ||
@@ -580,9 +579,9 @@
 {
   apply_outcome outcome;
   worker_number number = NumberOf(aWorker.mDescription.mId);
-  const std::int64_t known =
+  const std::int64_t knownStartMs =
     number == 0 ? 0 : mWorkers.at(number).mDescription.mProcessStartMs;
-  if (aWorker.mDescription.mProcessStartMs < known) {
+  if (aWorker.mDescription.mProcessStartMs < knownStartMs) {
     return Refuse(error_code::Conflict, "an earlier incarnation of the worker");
   }
   // Each incarnation needs a number of its own. Otherwise its ends would be
@@ -590,7 +589,7 @@
   // their tasks would start again or never. A new number also resets all that
   // is kept of a worker, and commands for the previous incarnation that are
   // still in flight have no effect.
-  if (number == 0 || aWorker.mDescription.mProcessStartMs > known) {
+  if (number == 0 || aWorker.mDescription.mProcessStartMs > knownStartMs) {
     outcome.mPreviousIncarnation = std::exchange(number, ++mLastWorker);
     mNumbers[aWorker.mDescription.mId] = number;
   }
@@ -598,7 +597,7 @@
   record.mDescription = aWorker.mDescription;
   record.mDraining = record.mDraining || aWorker.mDraining;
   if (outcome.mPreviousIncarnation != 0) {
-    MovePlaced(outcome.mPreviousIncarnation, number);
+    MoveRuns(outcome.mPreviousIncarnation, number);
     mWorkers.erase(outcome.mPreviousIncarnation);
     mCrashes.ForgetWorker(outcome.mPreviousIncarnation);
   }
@@ -608,17 +607,17 @@
 // If the runs were released instead, a task could start elsewhere while the new
 // process carries out a start order that was in flight to the previous one.
 void
-flow_state::MovePlaced(worker_number aFrom, worker_number aTo)
+flow_state::MoveRuns(worker_number aFrom, worker_number aTo)
 {
-  auto book = mPlaced.extract(aFrom);
-  if (book.empty()) {
+  auto placed = mPlaced.extract(aFrom);
+  if (placed.empty()) {
     return;
   }
-  for (const run_ref& run : book.mapped().mRuns) {
+  for (const run_ref& run : placed.mapped().mRuns) {
     Task(mJobs.at(run.mTask.mJob), run.mTask)->mWorker = aTo;
   }
-  book.key() = aTo;
-  mPlaced.insert(std::move(book));
+  placed.key() = aTo;
+  mPlaced.insert(std::move(placed));
 }
 
 apply_outcome
@@ -631,7 +630,7 @@
   apply_outcome outcome;
   if (!found->second.mDraining) {
     for (const task_ref& task : mCrashes.OnWorkerRemoved(aWorker.mWorker)) {
-      GiveUpIfCrashing(task, aWallMs, outcome);
+      FailJobIfCrashing(task, aWallMs, outcome);
     }
   }
   const std::set<run_ref> runs = RunsAt(aWorker.mWorker);
@@ -658,20 +657,20 @@
 }
 
 apply_outcome
-flow_state::On(const save_checkpoints& aKeep, std::int64_t /*aWallMs*/)
+flow_state::On(const save_checkpoints& aSave, std::int64_t /*aWallMs*/)
 {
-  for (const run_checkpoint& kept : aKeep.mRuns) {
-    const task_ref& place = kept.mRun.mTask;
-    const auto found = mJobs.find(place.mJob);
+  for (const run_checkpoint& saved : aSave.mRuns) {
+    const task_ref& ref = saved.mRun.mTask;
+    const auto found = mJobs.find(ref.mJob);
     task_record* task =
-      found == mJobs.end() ? nullptr : Task(found->second, place);
+      found == mJobs.end() ? nullptr : Task(found->second, ref);
     if (task != nullptr && task->mPhase == task_phase::Placed &&
-        task->mAttempt == kept.mRun.mAttempt) {
+        task->mAttempt == saved.mRun.mAttempt) {
       job_record& job = found->second;
       SetCheckpoint(*task,
-                    job.mOccurrences.at(place.mOccurrence).mSteps[place.mStep],
-                    job.mSpec.mSteps[place.mStep],
-                    kept.mCheckpoint);
+                    job.mOccurrences.at(ref.mOccurrence).mSteps[ref.mStep],
+                    job.mSpec.mSteps[ref.mStep],
+                    saved.mCheckpoint);
     }
   }
   return {};
@@ -690,11 +689,11 @@
   constexpr std::string_view kWhat = "restoring the workflow state";
   auto read = Decode<saved_state>(aBytes, kWhat);
   if (!read) {
-    auto former = Decode<former_saved_state>(aBytes, kWhat);
-    if (!former) {
+    auto older = Decode<saved_state_without_crashes>(aBytes, kWhat);
+    if (!older) {
       return Fail(read.error());
     }
-    read = std::move(former->mState);
+    read = std::move(older->mState);
   }
   mTable = std::move(read->mTable);
   mTableSource = std::move(read->mTableSource);
@@ -720,7 +719,7 @@
     UpdateLive(id, job);
     for (const auto& [number, occurrence] : job.mOccurrences) {
       for (std::uint32_t step = 0; step < occurrence.mSteps.size(); ++step) {
-        BookPlaced({ id, number, step, 0 }, job, occurrence.mSteps[step]);
+        IndexPlacedTasks({ id, number, step, 0 }, job, occurrence.mSteps[step]);
       }
     }
   }
@@ -731,16 +730,16 @@
 void
 flow_state::IndexQueues()
 {
-  mQueuePlaces.clear();
-  for (std::size_t place = 0; place < mTable.mQueues.size(); ++place) {
-    mQueuePlaces[mTable.mQueues[place].mName] = place;
+  mQueueIndexes.clear();
+  for (std::size_t index = 0; index < mTable.mQueues.size(); ++index) {
+    mQueueIndexes[mTable.mQueues[index].mName] = index;
   }
 }
 
 void
-flow_state::BookPlaced(task_ref aFirst,
-                       const job_record& aJob,
-                       const step_record& aStep)
+flow_state::IndexPlacedTasks(task_ref aFirst,
+                             const job_record& aJob,
+                             const step_record& aStep)
 {
   for (const task_record& task : aStep.mTasks) {
     if (task.mPhase == task_phase::Placed) {
--- a/oriolewalk/flow/flow_state.h
+++ b/oriolewalk/flow/flow_state.h
@@ -109,7 +109,7 @@
   result<void> Restore(std::string_view aBytes);
 
 private:
-  struct placed_book
+  struct placed_runs
   {
     std::set<run_ref> mRuns;
     // Kept up to date, since plans need them for every worker many times a
@@ -130,8 +130,8 @@
   apply_outcome On(const register_worker& aWorker, std::int64_t aWallMs);
   apply_outcome On(const remove_worker& aWorker, std::int64_t aWallMs);
   apply_outcome On(const forget_jobs& aForget, std::int64_t aWallMs);
-  apply_outcome On(const save_checkpoints& aKeep, std::int64_t aWallMs);
-  apply_outcome On(const mark_runs_lost& aLose, std::int64_t aWallMs);
+  apply_outcome On(const save_checkpoints& aSave, std::int64_t aWallMs);
+  apply_outcome On(const mark_runs_lost& aLost, std::int64_t aWallMs);
   apply_outcome On(const record_worker_return& aReturn, std::int64_t aWallMs);
   apply_outcome On(const record_worker_crash& aCrash, std::int64_t aWallMs);
 
@@ -162,11 +162,11 @@
   std::vector<run_ref> ReleaseAll(worker_number aWorker,
                                   const std::vector<run_ref>& aRuns);
   // Fails the task's job if the task has crashed too many workers.
-  void GiveUpIfCrashing(const task_ref& aTask,
-                        std::int64_t aWallMs,
-                        apply_outcome& aOutcome);
+  void FailJobIfCrashing(const task_ref& aTask,
+                         std::int64_t aWallMs,
+                         apply_outcome& aOutcome);
   // Moves the runs of a worker's incarnation aFrom to its next one, aTo.
-  void MovePlaced(worker_number aFrom, worker_number aTo);
+  void MoveRuns(worker_number aFrom, worker_number aTo);
   // Frees the capacity that an ended run books; its task waits again.
   void Release(const run_ref& aRun, worker_number aWorker);
   void FinishIfDone(const job_id& aId,
@@ -182,10 +182,10 @@
   void RebuildIndexes();
   void IndexQueues();
   // Indexes the placed tasks of a step. aFirst: the step's first task.
-  void BookPlaced(task_ref aFirst,
-                  const job_record& aJob,
-                  const step_record& aStep);
-  [[nodiscard]] std::uint32_t MostAttempts(const job_record& aJob) const;
+  void IndexPlacedTasks(task_ref aFirst,
+                        const job_record& aJob,
+                        const step_record& aStep);
+  [[nodiscard]] std::uint32_t MaxAttempts(const job_record& aJob) const;
 
   queue_table mTable;
   bytes mTableSource;
@@ -197,8 +197,8 @@
   // Derived from the members above.
   std::map<job_id, const job_record*> mLive; // into mJobs' stable nodes
   std::map<worker_id, worker_number> mNumbers;
-  std::unordered_map<std::string, std::size_t> mQueuePlaces; // index by name
-  std::unordered_map<worker_number, placed_book> mPlaced;
+  std::unordered_map<std::string, std::size_t> mQueueIndexes; // index by name
+  std::unordered_map<worker_number, placed_runs> mPlaced;
 };
 
 } // namespace oriolewalk::flow
