--- a/testing/flow/crash_tracker_test.cc
+++ b/testing/flow/crash_tracker_test.cc
@@ -32,11 +32,11 @@
 }
 
 // Starts a task on a new worker each time, which crashes at once.
-struct crash_scene : plan_fixture
+struct crash_fixture : plan_fixture
 {
   job_id mJob = mBuilder.AddJob("00", { Step(2, 1'000) });
 
-  apply_outcome CrashUnder(std::uint32_t aTask, bool aSuspected)
+  apply_outcome CrashWhileRunning(std::uint32_t aTask, bool aSuspected)
   {
     const worker_number worker =
       mBuilder.AddWorker(Worker("c" + std::to_string(++mCrashes)));
@@ -60,90 +60,91 @@
 {
   // Guards against a crash that counts twice because two leaders record it one
   // after the other.
-  crash_tracker book;
-  CHECK(book.OnCrash(1, { kRun }, Crash(1, { kRun })).size() == 1);
-  CHECK(book.OnCrash(1, { kRun }, Crash(1, { kRun })).empty());
-  CHECK(book.Find(kRun.mTask)->mCrashes == 1);
-  CHECK(book.Find(kRun.mTask)->mSuspectedCrashes == 1);
+  crash_tracker crashes;
+  CHECK(crashes.OnCrash(1, { kRun }, Crash(1, { kRun })).size() == 1);
+  CHECK(crashes.OnCrash(1, { kRun }, Crash(1, { kRun })).empty());
+  CHECK(crashes.Find(kRun.mTask)->mCrashes == 1);
+  CHECK(crashes.Find(kRun.mTask)->mSuspectedCrashes == 1);
 }
 
 TEST_CASE("a lost run counts once its worker is known to have crashed")
 {
   // Guards against crashes that go unnoticed because the lease expired first,
   // and against silence that counts as a crash.
-  crash_tracker book;
-  book.OnRunsLost(1, std::vector{ kRun });
-  CHECK(book.Find(kRun.mTask) == nullptr);
-  CHECK(book.UnresolvedLosses().at(kRun.mTask) == 1);
-  book.OnWorkerReturn(1);
-  CHECK(book.UnresolvedLosses().empty());
-  CHECK(book.OnCrash(1, {}, Crash(1)).empty());
-  book.OnRunsLost(2, std::vector{ kRun });
-  CHECK(book.OnCrash(2, {}, Crash(2)).size() == 1);
-  CHECK(book.Find(kRun.mTask)->mCrashes == 1);
-  CHECK(book.UnresolvedLosses().empty());
+  crash_tracker crashes;
+  crashes.OnRunsLost(1, std::vector{ kRun });
+  CHECK(crashes.Find(kRun.mTask) == nullptr);
+  CHECK(crashes.UnresolvedLosses().at(kRun.mTask) == 1);
+  crashes.OnWorkerReturn(1);
+  CHECK(crashes.UnresolvedLosses().empty());
+  CHECK(crashes.OnCrash(1, {}, Crash(1)).empty());
+  crashes.OnRunsLost(2, std::vector{ kRun });
+  CHECK(crashes.OnCrash(2, {}, Crash(2)).size() == 1);
+  CHECK(crashes.Find(kRun.mTask)->mCrashes == 1);
+  CHECK(crashes.UnresolvedLosses().empty());
 }
 
 TEST_CASE("lost workers alone, without a known crash, abandon no task")
 {
   // Guards against a job that fails although no worker is known to have crashed
   // under it, and against losses that are forgotten with their worker.
-  crash_tracker book;
+  crash_tracker crashes;
   for (worker_number worker = 1; worker <= 8; ++worker) {
-    book.OnRunsLost(worker, std::vector{ kRun });
-    book.OnWorkerRemoved(worker);
+    crashes.OnRunsLost(worker, std::vector{ kRun });
+    crashes.OnWorkerRemoved(worker);
   }
-  CHECK_FALSE(book.ShouldAbandon(kRun.mTask));
-  book.OnCrash(9, { kRun }, Crash(9));
-  CHECK_FALSE(book.ShouldAbandon(kRun.mTask));
-  book.OnCrash(10, { kRun }, Crash(10));
-  CHECK(book.ShouldAbandon(kRun.mTask));
+  CHECK_FALSE(crashes.ShouldAbandon(kRun.mTask));
+  crashes.OnCrash(9, { kRun }, Crash(9));
+  CHECK_FALSE(crashes.ShouldAbandon(kRun.mTask));
+  crashes.OnCrash(10, { kRun }, Crash(10));
+  CHECK(crashes.ShouldAbandon(kRun.mTask));
 }
 
 TEST_CASE("a task that ran for long resets its crash count")
 {
   // Guards against services that are abandoned for crashes spread over months.
-  crash_tracker book;
+  crash_tracker crashes;
   for (worker_number worker = 1; worker <= 2; ++worker) {
-    book.OnCrash(worker, { kRun, kOther }, Crash(worker, { kRun, kOther }));
+    crashes.OnCrash(worker, { kRun, kOther }, Crash(worker, { kRun, kOther }));
   }
-  book.OnCrash(3, { kRun, kOther }, { 3, {}, { kRun } });
-  CHECK(book.Find(kRun.mTask) == nullptr);
-  CHECK(book.Find(kOther.mTask)->mCrashes == 3);
+  crashes.OnCrash(3, { kRun, kOther }, { 3, {}, { kRun } });
+  CHECK(crashes.Find(kRun.mTask) == nullptr);
+  CHECK(crashes.Find(kOther.mTask)->mCrashes == 3);
 }
 
 TEST_CASE("a suspect is abandoned after three crashes, another task after five")
 {
   // Guards against tasks that are abandoned because they ran beside the one
   // that crashes its workers.
-  crash_scene scene;
+  crash_fixture fixture;
   for (int crash = 1; crash < 3; ++crash) {
-    CHECK(scene.CrashUnder(0, true).mAbandonedTasks.empty());
+    CHECK(fixture.CrashWhileRunning(0, true).mAbandonedTasks.empty());
   }
-  CHECK(scene.CrashUnder(0, true).mAbandonedTasks.size() == 1);
-  CHECK(scene.mBuilder.mState.FindJob(scene.mJob)->mState == job_state::Failed);
-  crash_scene other;
+  CHECK(fixture.CrashWhileRunning(0, true).mAbandonedTasks.size() == 1);
+  CHECK(fixture.mBuilder.mState.FindJob(fixture.mJob)->mState ==
+        job_state::Failed);
+  crash_fixture other;
   for (int crash = 1; crash < 5; ++crash) {
-    CHECK(other.CrashUnder(0, false).mAbandonedTasks.empty());
+    CHECK(other.CrashWhileRunning(0, false).mAbandonedTasks.empty());
   }
-  CHECK(other.CrashUnder(0, false).mAbandonedTasks.size() == 1);
+  CHECK(other.CrashWhileRunning(0, false).mAbandonedTasks.size() == 1);
 }
 
 TEST_CASE("crash counts are in the snapshot, and one without them is readable")
 {
   // Guards against counts that are lost in a restart.
-  crash_scene scene;
-  scene.CrashUnder(0, true);
-  const bytes saved = scene.mBuilder.mState.Save();
+  crash_fixture fixture;
+  fixture.CrashWhileRunning(0, true);
+  const bytes saved = fixture.mBuilder.mState.Save();
   flow_state restored;
   REQUIRE(restored.Restore(saved));
   CHECK(restored.Crashes().Records().size() == 1);
   // The older format ends before the counts, which are two empty maps here.
   constexpr std::size_t kTwoSizes = 2 * sizeof(std::uint64_t);
-  state_builder calm;
-  calm.AddJob("00", { Step(2, 1'000) });
-  const bytes former = calm.mState.Save();
-  REQUIRE(restored.Restore(former.substr(0, former.size() - kTwoSizes)));
+  state_builder withoutCrashes;
+  withoutCrashes.AddJob("00", { Step(2, 1'000) });
+  const bytes older = withoutCrashes.mState.Save();
+  REQUIRE(restored.Restore(older.substr(0, older.size() - kTwoSizes)));
   CHECK(restored.FindJob(job_id("00")) != nullptr);
   CHECK(restored.Crashes().Records().empty());
 }
@@ -151,40 +152,40 @@
 TEST_CASE("no task starts at a worker that is known to have crashed")
 {
   // Guards against a start between the crash and the worker's removal.
-  state_builder made;
-  const worker_number worker = made.AddWorker(Worker("w"));
-  const job_id job = made.AddJob("00", { Step(1, 1'000) });
-  made.Apply(Crash(worker));
-  CHECK(made.Start(state_builder::Run(job, 1), worker).mStarted.empty());
+  state_builder builder;
+  const worker_number worker = builder.AddWorker(Worker("w"));
+  const job_id job = builder.AddJob("00", { Step(1, 1'000) });
+  builder.Apply(Crash(worker));
+  CHECK(builder.Start(state_builder::Run(job, 1), worker).mStarted.empty());
 }
 
 TEST_CASE("a task of high suspicion starts alone, one of its job at a time")
 {
   // Guards against suspects that crash a worker together, which hides the
   // cause, and against a step that crashes every worker.
-  crash_scene scene;
+  crash_fixture fixture;
   for (const std::uint32_t task : { 0U, 1U }) {
-    scene.CrashUnder(task, true);
-    scene.CrashUnder(task, true);
+    fixture.CrashWhileRunning(task, true);
+    fixture.CrashWhileRunning(task, true);
   }
   for (const char* id : { "w", "ww", "www" }) {
-    scene.mBuilder.AddWorker(Worker(id));
+    fixture.mBuilder.AddWorker(Worker(id));
   }
-  scene.mBuilder.AddJob("11", { Step(30, 1'000) });
+  fixture.mBuilder.AddJob("11", { Step(30, 1'000) });
   const auto plan = [&]() {
-    plan_input input = scene.Input();
-    suspect_isolation watch;
-    input.mSuspicions = watch.Summarize(
-      scene.mBuilder.mState,
-      scene.mProposed,
+    plan_input input = fixture.Input();
+    suspect_isolation isolation;
+    input.mSuspicions = isolation.Summarize(
+      fixture.mBuilder.mState,
+      fixture.mProposed,
       [](worker_number, const run_ref&) { return true; },
-      scene.mNow);
+      fixture.mNow);
     return MakePlan(std::move(input));
   };
   std::vector<run_start> suspects;
   std::set<worker_number> others;
   for (const planned_start& start : plan().mStarts) {
-    if (start.mStart.mRun.mTask.mJob == scene.mJob) {
+    if (start.mStart.mRun.mTask.mJob == fixture.mJob) {
       suspects.push_back(start.mStart);
     } else {
       others.insert(start.mStart.mWorker);
@@ -194,10 +195,10 @@
   CHECK(others.size() == 2);
   CHECK_FALSE(others.contains(suspects[0].mWorker));
   // It runs, and is not known to be sound yet.
-  scene.mBuilder.Start(suspects[0].mRun, suspects[0].mWorker);
+  fixture.mBuilder.Start(suspects[0].mRun, suspects[0].mWorker);
   for (const planned_start& start : plan().mStarts) {
     CHECK(start.mStart.mWorker != suspects[0].mWorker);
-    CHECK(start.mStart.mRun.mTask.mJob != scene.mJob);
+    CHECK(start.mStart.mRun.mTask.mJob != fixture.mJob);
   }
 }
 
--- a/testing/flow/crashing_task_test.cc
+++ b/testing/flow/crashing_task_test.cc
@@ -18,20 +18,20 @@
 using testing::Step;
 
 constexpr const char* kCrashing = "00000000000000cc";
-constexpr const char* kInnocent = "00000000000000ee";
+constexpr const char* kNormal = "00000000000000ee";
 constexpr std::size_t kMaxStarts = 5;
 
 // A group with six workers. In the crashing job, either the first task or all
 // tasks crash their workers.
-struct crashing_scene
+struct crashing_fixture
 {
   fake_group mGroup;
   std::map<task_ref, std::size_t> mStarts; // of crashing tasks
   bool mAllCrash = false;
 
-  explicit crashing_scene(std::uint64_t aSeed,
-                          milliseconds aAway,
-                          bool aUnderTheirIds = false)
+  explicit crashing_fixture(std::uint64_t aSeed,
+                            milliseconds aDowntime,
+                            bool aKeepIds = false)
     : mGroup(3, 3, aSeed)
   {
     constexpr std::size_t kWorkers = 6;
@@ -40,7 +40,7 @@
         mGroup.AddWorker(std::string(made + 1, 'w'), made % 2 == 0 ? 0.02 : 0));
       worker.mTaskSize = Step(1, 1'000).mSize;
     }
-    mGroup.RestartCrashedWorkers(aAway, aUnderTheirIds);
+    mGroup.RestartCrashedWorkers(aDowntime, aKeepIds);
     mGroup.Oracle().mCrashesWorker = [this](const task_ref& aTask) {
       return aTask.mJob.Value() == kCrashing &&
              (mAllCrash || aTask.mIndex == 0);
@@ -61,13 +61,13 @@
 
   // Checks that the crashing job ends as failed after few starts, and that the
   // tasks that ran beside it end as done.
-  void CheckGivenUp(duration aWithin)
+  void CheckAbandoned(duration aWithin)
   {
     CHECK(EndsAs(kCrashing, "failed", aWithin));
     for (const auto& [task, starts] : mStarts) {
       CHECK(starts <= kMaxStarts);
     }
-    CHECK(EndsAs(kInnocent, "done", aWithin));
+    CHECK(EndsAs(kNormal, "done", aWithin));
     CHECK(mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
 };
@@ -80,10 +80,10 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (const bool sameId : { false, true }) {
       CAPTURE(seed, sameId);
-      crashing_scene scene(seed, seconds(3), sameId);
-      scene.mGroup.Submit(kCrashing, { Step(3, 1'000) });
-      scene.mGroup.Submit(kInnocent, { Step(20, 1'000) });
-      scene.CheckGivenUp(seconds(40));
+      crashing_fixture fixture(seed, seconds(3), sameId);
+      fixture.mGroup.Submit(kCrashing, { Step(3, 1'000) });
+      fixture.mGroup.Submit(kNormal, { Step(20, 1'000) });
+      fixture.CheckAbandoned(seconds(40));
     }
   }
 }
@@ -93,12 +93,12 @@
   // Guards against runs that count as lapsed, which is no failure: the crash is
   // proved only after the task has started elsewhere.
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    for (const std::int64_t away : { 5, 9, 14 }) {
-      CAPTURE(seed, away);
-      crashing_scene scene(seed, seconds(away));
-      scene.mGroup.Submit(kCrashing, { Step(3, 1'000) });
-      scene.mGroup.Submit(kInnocent, { Step(20, 1'000) });
-      scene.CheckGivenUp(seconds(100));
+    for (const std::int64_t downtime : { 5, 9, 14 }) {
+      CAPTURE(seed, downtime);
+      crashing_fixture fixture(seed, seconds(downtime));
+      fixture.mGroup.Submit(kCrashing, { Step(3, 1'000) });
+      fixture.mGroup.Submit(kNormal, { Step(20, 1'000) });
+      fixture.CheckAbandoned(seconds(100));
     }
   }
 }
@@ -108,18 +108,18 @@
   // Guards against counts that are lost with the leader's term.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
-    crashing_scene scene(seed, seconds(3));
-    scene.mGroup.Submit(kCrashing, { Step(1, 1'000) });
-    scene.mGroup.Submit(kInnocent, { Step(20, 1'000) });
+    crashing_fixture fixture(seed, seconds(3));
+    fixture.mGroup.Submit(kCrashing, { Step(1, 1'000) });
+    fixture.mGroup.Submit(kNormal, { Step(20, 1'000) });
     for (int crashes = 0; crashes < 3; ++crashes) {
-      scene.mGroup.Run(milliseconds(2'500));
-      const auto leader = scene.mGroup.Leader();
+      fixture.mGroup.Run(milliseconds(2'500));
+      const auto leader = fixture.mGroup.Leader();
       REQUIRE(leader);
-      scene.mGroup.Kill(*leader, true);
-      scene.mGroup.Run(seconds(2));
-      scene.mGroup.Restart(*leader);
+      fixture.mGroup.Kill(*leader, true);
+      fixture.mGroup.Run(seconds(2));
+      fixture.mGroup.Restart(*leader);
     }
-    scene.CheckGivenUp(seconds(40));
+    fixture.CheckAbandoned(seconds(40));
   }
 }
 
@@ -129,13 +129,13 @@
   // starts of the whole gang.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
-    crashing_scene scene(seed, seconds(3));
-    scene.mAllCrash = true;
+    crashing_fixture fixture(seed, seconds(3));
+    fixture.mAllCrash = true;
     step_spec gang = Step(3, 1'000);
     gang.mGang = true;
-    scene.mGroup.Submit(kCrashing, { gang });
-    scene.mGroup.Submit(kInnocent, { Step(20, 1'000) });
-    scene.CheckGivenUp(seconds(60));
+    fixture.mGroup.Submit(kCrashing, { gang });
+    fixture.mGroup.Submit(kNormal, { Step(20, 1'000) });
+    fixture.CheckAbandoned(seconds(60));
   }
 }
 
@@ -145,12 +145,12 @@
   // no limit.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
-    crashing_scene scene(seed, seconds(3));
-    step_spec lasting = Step(1, 1'000);
-    lasting.mLongRunning = true;
-    scene.mGroup.Submit(kCrashing, { lasting });
-    scene.mGroup.Submit(kInnocent, { Step(20, 1'000) });
-    scene.CheckGivenUp(seconds(40));
+    crashing_fixture fixture(seed, seconds(3));
+    step_spec longRunning = Step(1, 1'000);
+    longRunning.mLongRunning = true;
+    fixture.mGroup.Submit(kCrashing, { longRunning });
+    fixture.mGroup.Submit(kNormal, { Step(20, 1'000) });
+    fixture.CheckAbandoned(seconds(40));
   }
 }
 
@@ -160,13 +160,13 @@
   // tasks would crash three workers.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
-    crashing_scene scene(seed, seconds(3));
-    scene.mAllCrash = true;
-    scene.mGroup.Submit(kCrashing, { Step(12, 1'000) });
-    scene.mGroup.Run(milliseconds(50));
-    scene.mGroup.Submit(kInnocent, { Step(20, 1'000) });
-    scene.CheckGivenUp(seconds(60));
-    CHECK(scene.mGroup.Count("worker.over") <= 14);
+    crashing_fixture fixture(seed, seconds(3));
+    fixture.mAllCrash = true;
+    fixture.mGroup.Submit(kCrashing, { Step(12, 1'000) });
+    fixture.mGroup.Run(milliseconds(50));
+    fixture.mGroup.Submit(kNormal, { Step(20, 1'000) });
+    fixture.CheckAbandoned(seconds(60));
+    CHECK(fixture.mGroup.Count("worker.over") <= 14);
   }
 }
 
@@ -176,14 +176,14 @@
   // so that its crashes count for them as well.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
-    crashing_scene scene(seed, seconds(3));
-    step_spec lasting = Step(6, 1'000);
-    lasting.mLongRunning = true;
-    scene.mGroup.Submit(kCrashing, { Step(1, 1'000) });
-    scene.mGroup.Submit(kInnocent, { Step(18, 1'000), lasting });
-    CHECK(scene.EndsAs(kCrashing, "failed", seconds(40)));
-    scene.mGroup.Run(seconds(5));
-    CHECK(scene.mGroup.StateOf(kInnocent) == "running");
+    crashing_fixture fixture(seed, seconds(3));
+    step_spec longRunning = Step(6, 1'000);
+    longRunning.mLongRunning = true;
+    fixture.mGroup.Submit(kCrashing, { Step(1, 1'000) });
+    fixture.mGroup.Submit(kNormal, { Step(18, 1'000), longRunning });
+    CHECK(fixture.EndsAs(kCrashing, "failed", seconds(40)));
+    fixture.mGroup.Run(seconds(5));
+    CHECK(fixture.mGroup.StateOf(kNormal) == "running");
   }
 }
 
@@ -193,26 +193,27 @@
   // tasks would fail although nothing is wrong with them.
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     CAPTURE(seed);
-    crashing_scene scene(seed, seconds(3));
-    step_spec lasting = Step(1, 1'000);
-    lasting.mLongRunning = true;
+    crashing_fixture fixture(seed, seconds(3));
+    step_spec longRunning = Step(1, 1'000);
+    longRunning.mLongRunning = true;
     for (std::size_t worker = 0; worker < 6; ++worker) {
-      scene.mGroup.Worker(worker).mWorkTime = seconds(60);
+      fixture.mGroup.Worker(worker).mWorkTime = seconds(60);
     }
-    scene.mGroup.Submit(kInnocent, { lasting });
+    fixture.mGroup.Submit(kNormal, { longRunning });
     for (int cut = 0; cut < 6; ++cut) {
-      scene.mGroup.Run(seconds(1));
+      fixture.mGroup.Run(seconds(1));
       for (std::size_t worker = 0; worker < 6; ++worker) {
-        scene.mGroup.CutWorker(worker, worker != static_cast<std::size_t>(cut));
+        fixture.mGroup.CutWorker(worker,
+                                 worker != static_cast<std::size_t>(cut));
       }
-      scene.mGroup.Run(seconds(8));
+      fixture.mGroup.Run(seconds(8));
       for (std::size_t worker = 0; worker < 6; ++worker) {
-        scene.mGroup.CutWorker(worker, false);
+        fixture.mGroup.CutWorker(worker, false);
       }
     }
-    CHECK(scene.mGroup.StateOf(kInnocent) == "running");
-    CHECK(scene.mGroup.Count("task.crashes_workers") == 0);
-    CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
+    CHECK(fixture.mGroup.StateOf(kNormal) == "running");
+    CHECK(fixture.mGroup.Count("task.crashes_workers") == 0);
+    CHECK(fixture.mGroup.Oracle().Violations() == std::vector<std::string>{});
   }
 }
 
--- a/testing/flow/fixtures.h
+++ b/testing/flow/fixtures.h
@@ -41,13 +41,13 @@
 inline worker_description
 Worker(const std::string& aId, std::int64_t aMilliProcessors = 8'000)
 {
-  worker_description facts;
-  facts.mId = worker_id(aId);
-  facts.mAddress = "10.0.0." + std::to_string(aId.size()) + ":80";
-  facts.mService = service_id("pay");
-  facts.mRack = rack_id("r1");
-  facts.mCapacity = { aMilliProcessors, 10'000, 0 };
-  return facts;
+  worker_description description;
+  description.mId = worker_id(aId);
+  description.mAddress = "10.0.0." + std::to_string(aId.size()) + ":80";
+  description.mService = service_id("pay");
+  description.mRack = rack_id("r1");
+  description.mCapacity = { aMilliProcessors, 10'000, 0 };
+  return description;
 }
 
 // Applies commands, and offers short functions for those that tests need.
@@ -69,10 +69,10 @@
     return mState.Apply({ aWallMs, std::move(aBody) });
   }
 
-  worker_number AddWorker(const worker_description& aFacts)
+  worker_number AddWorker(const worker_description& aDescription)
   {
-    Apply(register_worker{ aFacts, false });
-    return mState.NumberOf(aFacts.mId);
+    Apply(register_worker{ aDescription, false });
+    return mState.NumberOf(aDescription.mId);
   }
 
   job_id AddJob(const std::string& aId,
@@ -101,12 +101,12 @@
 
   apply_outcome End(const run_ref& aRun,
                     worker_number aWorker,
-                    run_outcome aHow,
+                    run_outcome aOutcome,
                     std::uint64_t aCursor = 1,
                     std::string aCheckpoint = {})
   {
-    return Apply(
-      end_runs{ aWorker, { { aRun, aHow, std::move(aCheckpoint) } }, aCursor });
+    return Apply(end_runs{
+      aWorker, { { aRun, aOutcome, std::move(aCheckpoint) } }, aCursor });
   }
 
   flow_state mState;
--- a/testing/flow/shrinking_worker_test.cc
+++ b/testing/flow/shrinking_worker_test.cc
@@ -13,12 +13,12 @@
 
 using testing::Step;
 
-struct shrinking_scene
+struct shrinking_fixture
 {
   fake_group mGroup;
   worker_description mLarge; // before it shrank
 
-  explicit shrinking_scene(std::uint64_t aSeed)
+  explicit shrinking_fixture(std::uint64_t aSeed)
     : mGroup(3, 3, aSeed)
   {
     mGroup.AddWorker("w");
@@ -35,7 +35,7 @@
     mGroup.Worker(0).SetCapacity(small, mGroup.Now());
   }
 
-  [[nodiscard]] std::int64_t KnownRoom()
+  [[nodiscard]] std::int64_t KnownMilliProcessors()
   {
     const flow_state& state = mGroup.Core(*mGroup.Leader()).State();
     return state.FindWorker(state.NumberOf(mLarge.mId))
@@ -51,16 +51,16 @@
   // heartbeat reports the capacity from before it shrank.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
-    shrinking_scene scene(seed);
-    scene.Shrink();
-    scene.mGroup.Run(seconds(6));
-    CHECK(scene.KnownRoom() == 2'000);
-    scene.mGroup.SendRequest(
-      worker_heartbeat{ scene.mLarge, false, 0, 1'000, 1 });
-    scene.mGroup.Submit("0000000000000001", { Step(4, 2'000) });
-    scene.mGroup.Run(milliseconds(500));
-    CHECK(scene.mGroup.Oracle().Violations().empty());
-    CHECK(scene.mGroup.Oracle().Starts() == 1);
+    shrinking_fixture fixture(seed);
+    fixture.Shrink();
+    fixture.mGroup.Run(seconds(6));
+    CHECK(fixture.KnownMilliProcessors() == 2'000);
+    fixture.mGroup.SendRequest(
+      worker_heartbeat{ fixture.mLarge, false, 0, 1'000, 1 });
+    fixture.mGroup.Submit("0000000000000001", { Step(4, 2'000) });
+    fixture.mGroup.Run(milliseconds(500));
+    CHECK(fixture.mGroup.Oracle().Violations().empty());
+    CHECK(fixture.mGroup.Oracle().Starts() == 1);
   }
 }
 
@@ -70,19 +70,19 @@
   // heartbeat is an older one.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
-    shrinking_scene scene(seed);
-    scene.Shrink();
-    scene.mGroup.Run(seconds(6));
-    const std::size_t leader = *scene.mGroup.Leader();
-    scene.mGroup.Kill(leader);
-    CHECK(scene.mGroup.RunUntil(
-      [&]() { return scene.mGroup.Leader().has_value(); }, seconds(5)));
-    scene.mGroup.SendRequest(
-      worker_heartbeat{ scene.mLarge, false, 0, 1'000, 1 });
-    scene.mGroup.Submit("0000000000000001", { Step(4, 2'000) });
-    scene.mGroup.Run(seconds(2));
-    CHECK(scene.mGroup.Oracle().Violations().empty());
-    CHECK(scene.mGroup.Oracle().Starts() == 1);
+    shrinking_fixture fixture(seed);
+    fixture.Shrink();
+    fixture.mGroup.Run(seconds(6));
+    const std::size_t leader = *fixture.mGroup.Leader();
+    fixture.mGroup.Kill(leader);
+    CHECK(fixture.mGroup.RunUntil(
+      [&]() { return fixture.mGroup.Leader().has_value(); }, seconds(5)));
+    fixture.mGroup.SendRequest(
+      worker_heartbeat{ fixture.mLarge, false, 0, 1'000, 1 });
+    fixture.mGroup.Submit("0000000000000001", { Step(4, 2'000) });
+    fixture.mGroup.Run(seconds(2));
+    CHECK(fixture.mGroup.Oracle().Violations().empty());
+    CHECK(fixture.mGroup.Oracle().Starts() == 1);
   }
 }
 
@@ -91,15 +91,15 @@
   // Guards against a worker whose capacity stays reduced for the leader.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
-    shrinking_scene scene(seed);
-    scene.Shrink();
-    scene.mGroup.Submit("0000000000000001", { Step(4, 2'000) });
-    scene.mGroup.Run(seconds(6));
-    scene.mGroup.Worker(0).SetCapacity(scene.mLarge.mCapacity,
-                                       scene.mGroup.Now());
-    scene.mGroup.Run(seconds(2));
-    CHECK(scene.mGroup.Oracle().Starts() == 4);
-    CHECK(scene.mGroup.Oracle().Violations().empty());
+    shrinking_fixture fixture(seed);
+    fixture.Shrink();
+    fixture.mGroup.Submit("0000000000000001", { Step(4, 2'000) });
+    fixture.mGroup.Run(seconds(6));
+    fixture.mGroup.Worker(0).SetCapacity(fixture.mLarge.mCapacity,
+                                         fixture.mGroup.Now());
+    fixture.mGroup.Run(seconds(2));
+    CHECK(fixture.mGroup.Oracle().Starts() == 4);
+    CHECK(fixture.mGroup.Oracle().Violations().empty());
   }
 }
 
