--- a/oriolewalk/flow/flow_core.cc
+++ b/oriolewalk/flow/flow_core.cc
@@ -8,31 +8,33 @@
 
 namespace {
 
-// How often the leader looks after the group's members.
-constexpr milliseconds kTendEvery{ 250 };
-// A voter that was silent for so long may be replaced by a newcomer.
-constexpr milliseconds kReplaceAfter{ 2'500 };
-// And is taken out after this: longer than any restart.
-constexpr seconds kRemoveAfter{ 20 };
-// A learner counts in no majority, and one that died on the way to replacing a
-// voter keeps the next newcomer from doing so: out after any pause that is
-// shorter than a restart.
+// The interval at which the leader checks the group's members.
+constexpr milliseconds kMemberCheckInterval{ 250 };
+// A voter that has been silent for this long may be replaced by a joining node.
+constexpr milliseconds kReplaceVoterAfter{ 2'500 };
+// A voter that has been silent for this long, which exceeds any restart, is
+// removed.
+constexpr seconds kRemoveVoterAfter{ 20 };
+// A learner that dies while it replaces a voter keeps the next joining node
+// from doing so. Since a learner counts in no majority, it is removed after a
+// silence that exceeds any pause but is shorter than a restart.
 constexpr seconds kRemoveLearnerAfter{ 5 };
-// A node that heard no leader for so long asks to be taken in: several
-// elections have failed, or it was taken out.
+// A node that has heard from no leader for this long requests to join: several
+// elections have failed, or it was removed.
 constexpr milliseconds kJoinAfter{ 2'000 };
 
 } // namespace
 
 std::size_t
-MaxVoters(std::uint32_t aLostInstances, bool aLosesPlaces)
+MaxVoters(std::uint32_t aLostInstances, bool aMayLoseDataCentre)
 {
-  constexpr std::size_t kLeast = 3;
-  constexpr std::size_t kMost = 9;
-  if (aLostInstances == 0 || aLosesPlaces) {
-    return kMost;
+  constexpr std::size_t kMinVoters = 3;
+  constexpr std::size_t kMaxVoters = 9;
+  if (aLostInstances == 0 || aMayLoseDataCentre) {
+    return kMaxVoters;
   }
-  return std::clamp(2 * std::size_t{ aLostInstances } + 1, kLeast, kMost);
+  return std::clamp(
+    2 * std::size_t{ aLostInstances } + 1, kMinVoters, kMaxVoters);
 }
 
 flow_core::flow_core(flow_config aConfig)
@@ -56,8 +58,8 @@
         !read) {
       return Fail(read.error());
     }
-    core->mApplied = aRestored.mSnapshot->mIndex;
-    core->mSnapshotAt = core->mApplied;
+    core->mAppliedIndex = aRestored.mSnapshot->mIndex;
+    core->mSnapshotIndex = core->mAppliedIndex;
   }
   core->mRaft = std::make_unique<consensus::raft_node>(aConfig.mSelf,
                                                        aConfig.mRaft,
@@ -65,7 +67,7 @@
                                                        aConfig.mInitialMembers,
                                                        aSeed,
                                                        aNow);
-  core->mTickedAt = aNow;
+  core->mLastTickAt = aNow;
   return core;
 }
 
@@ -73,8 +75,8 @@
 flow_core::SetTime(instant aAt)
 {
   mAt = aAt;
-  if (mLeading) {
-    mLeading->SetTime(aAt);
+  if (mLeader) {
+    mLeader->SetTime(aAt);
   }
 }
 
@@ -94,12 +96,14 @@
                Answer(aCall, Fail(aError));
              },
            .mLogDecision =
-             [this](decision aNote) { mNotes.push_back(std::move(aNote)); },
-           .mMembers = [this]() { return HeardMembers(); } };
+             [this](decision aDecision) {
+               mDecisions.push_back(std::move(aDecision));
+             },
+           .mMembers = [this]() { return ReachableMembers(); } };
 }
 
 std::vector<std::string>
-flow_core::HeardMembers() const
+flow_core::ReachableMembers() const
 {
   std::vector<std::string> addresses{ mConfig.mAddress };
   for (const consensus::peer_status& peer : mRaft->Peers()) {
@@ -146,19 +150,19 @@
                          instant aAt)
 {
   SetTime(aAt);
-  mOpen.insert(aCall);
-  UpdateLeading();
-  // A leader that can't be sure that it still leads answers nothing: another
-  // may have accepted changes that it has not heard of.
-  if (!mLeading || !mRaft->MayServe(aAt.mNow)) {
+  mOpenCalls.insert(aCall);
+  UpdateLeader();
+  // A leader that can't be certain that it still leads answers no request:
+  // another leader may have accepted changes that it doesn't know.
+  if (!mLeader || !mRaft->MayServe(aAt.mNow)) {
     const std::string leader = mRaft->IsLeader() ? "" : LeaderAddress();
     Answer(aCall, Fail(error{ error_code::NotLeader, "ask", {}, leader }));
     return;
   }
   if (const auto* join = std::get_if<join_request>(&aRequest)) {
-    TakeIn(*join);
+    Admit(*join);
   }
-  mLeading->HandleRequest(aCall, aRequest);
+  mLeader->HandleRequest(aCall, aRequest);
 }
 
 void
@@ -167,8 +171,8 @@
                          instant aAt)
 {
   SetTime(aAt);
-  if (mLeading) {
-    mLeading->OnOrderAnswer(aOrder, aAnswer);
+  if (mLeader) {
+    mLeader->OnOrderAnswer(aOrder, aAnswer);
   }
 }
 
@@ -178,8 +182,8 @@
                           instant aAt)
 {
   SetTime(aAt);
-  if (mLeading) {
-    mLeading->OnAdviceAnswer(aOrder, aAnswer);
+  if (mLeader) {
+    mLeader->OnAdviceAnswer(aOrder, aAnswer);
   }
 }
 
@@ -187,22 +191,22 @@
 flow_core::OnRelayFailure(const std::string& aAddress, instant aAt)
 {
   SetTime(aAt);
-  if (mLeading) {
-    mLeading->OnRelayFailure(aAddress);
+  if (mLeader) {
+    mLeader->OnRelayFailure(aAddress);
   }
 }
 
 bool
 flow_core::Propose(command_body aBody, leader_port::on_applied aThen)
 {
-  const auto place =
+  const auto position =
     mRaft->Propose(Encode(command{ mAt.mWallMs, std::move(aBody) }), mAt.mNow);
-  if (!place) {
+  if (!position) {
     return false;
   }
   if (aThen) {
-    mProposed.insert_or_assign(place->mIndex,
-                               proposed{ place->mTerm, std::move(aThen) });
+    mProposals.insert_or_assign(position->mIndex,
+                                proposal{ position->mTerm, std::move(aThen) });
   }
   return true;
 }
@@ -210,7 +214,7 @@
 void
 flow_core::Answer(call_number aCall, result<flow_answer> aAnswer)
 {
-  if (mOpen.erase(aCall) != 0) {
+  if (mOpenCalls.erase(aCall) != 0) {
     mReplies.push_back({ aCall, std::move(aAnswer) });
   }
 }
@@ -223,30 +227,31 @@
   if (mRaft->Leader()) {
     mLeaderHeardAt = aAt.mNow;
   }
-  NoteLed();
-  UpdateLeading();
-  if (!mLeading) {
+  UpdateLedUntil();
+  UpdateLeader();
+  if (!mLeader) {
     return;
   }
   if (mRaft->MayServe(aAt.mNow)) {
-    mLeading->Tick();
+    mLeader->Tick();
   }
-  if (aAt.mNow >= mMembersAt + kTendEvery) {
-    mMembersAt = aAt.mNow;
-    TendMembers();
+  if (aAt.mNow >= mMembersCheckedAt + kMemberCheckInterval) {
+    mMembersCheckedAt = aAt.mNow;
+    MaintainMembers();
   }
 }
 
-// Learners become voters once they have caught up; voters that have been away
-// for longer than a restart takes go, so that they don't count in majorities.
+// Promotes learners that have caught up to voters, and removes voters that have
+// been silent for longer than a restart takes, so that they don't count in
+// majorities.
 void
-flow_core::TendMembers()
+flow_core::MaintainMembers()
 {
   const consensus::membership members = mRaft->Members();
   for (const consensus::member& learner : members.mLearners) {
     if (!learner.mPromote && members.mVoters.size() < mConfig.mMaxVoters &&
         mRaft->Promote(learner.mId, mAt.mNow)) {
-      mNotes.push_back(
+      mDecisions.push_back(
         { "member.promoted", { { "address", learner.mAddress } } });
       return;
     }
@@ -254,47 +259,49 @@
   for (const consensus::peer_status& peer : mRaft->Peers()) {
     const consensus::member* member = members.Find(peer.mId);
     const duration bound =
-      peer.mVoter ? duration(kRemoveAfter) : duration(kRemoveLearnerAfter);
-    if (member == nullptr || SilenceOf(peer) < bound) {
+      peer.mVoter ? duration(kRemoveVoterAfter) : duration(kRemoveLearnerAfter);
+    if (member == nullptr || SilenceDuration(peer) < bound) {
       continue;
     }
     const std::string address = member->mAddress;
     if (mRaft->Remove(peer.mId, mAt.mNow)) {
-      mNotes.push_back({ "member.removed", { { "address", address } } });
+      mDecisions.push_back({ "member.removed", { { "address", address } } });
       return;
     }
   }
 }
 
-// A new leader has heard nobody yet: counted from its own beginning, or it
-// would take out whoever answers a moment later than the others.
+// A new leader has not heard from any peer yet. Silence counts from the start
+// of its leadership at the earliest; otherwise it would remove peers that
+// answer slightly later than the others.
 duration
-flow_core::SilenceOf(const consensus::peer_status& aPeer) const
+flow_core::SilenceDuration(const consensus::peer_status& aPeer) const
 {
-  return mAt.mNow - std::max(aPeer.mHeardAt, mLeadingSince);
+  return mAt.mNow - std::max(aPeer.mHeardAt, mLeaderSince);
 }
 
 void
-flow_core::TakeIn(const join_request& aJoin)
+flow_core::Admit(const join_request& aJoin)
 {
   const consensus::node_id id(aJoin.mNode);
   if (mRaft->Members().Find(id) != nullptr) {
     return;
   }
   for (const consensus::peer_status& peer : mRaft->Peers()) {
-    if (peer.mVoter && SilenceOf(peer) >= kReplaceAfter &&
+    if (peer.mVoter && SilenceDuration(peer) >= kReplaceVoterAfter &&
         mRaft->Replace(peer.mId, id, aJoin.mAddress, mAt.mNow)) {
-      mNotes.push_back({ "member.joins", { { "address", aJoin.mAddress } } });
+      mDecisions.push_back(
+        { "member.joins", { { "address", aJoin.mAddress } } });
       return;
     }
   }
   const consensus::membership& members = mRaft->Members();
   if (members.mVoters.size() + members.mLearners.size() >= mConfig.mMaxVoters) {
-    return; // a spare: it stands by until a voter is silent
+    return; // it remains a spare until a voter is silent
   }
-  // Refused while another change is under way; it asks again.
+  // Refused while another change is in progress; the node requests it again.
   if (mRaft->AddLearner(id, aJoin.mAddress, mAt.mNow)) {
-    mNotes.push_back({ "member.joins", { { "address", aJoin.mAddress } } });
+    mDecisions.push_back({ "member.joins", { { "address", aJoin.mAddress } } });
   }
 }
 
@@ -302,47 +309,48 @@
 flow_core::HandOver(instant aAt)
 {
   SetTime(aAt);
-  // Without another voter in reach there is nobody to hand over to.
+  // The result is ignored: it fails if no other voter is reachable.
   static_cast<void>(mRaft->TransferLeadership(aAt.mNow));
 }
 
-// Leading begins when this node leads and has applied an entry of its own
-// term: the state then holds all that was ever acknowledged.
+// The leader_core exists while this node leads and has applied an entry of its
+// own term: the state then contains everything that was ever acknowledged.
 void
-flow_core::UpdateLeading()
+flow_core::UpdateLeader()
 {
-  const bool sameTerm = mRaft->IsLeader() && mLeadingTerm == mRaft->Term();
-  if (mLeading && !sameTerm) {
+  const bool sameTerm = mRaft->IsLeader() && mLeaderTerm == mRaft->Term();
+  if (mLeader && !sameTerm) {
     StepDown();
   }
   const auto barrier = mRaft->ReadBarrier();
-  const bool leads = mRaft->IsLeader() && barrier && mApplied >= *barrier;
-  if (!mLeading && leads) {
-    mLeadingTerm = mRaft->Term();
-    mLeadingSince = mAt.mNow;
-    mLeading = std::make_unique<leader_core>(
-      mState, mConfig.mFlow, Port(), mLeadingTerm, mAt, mLedUntil);
-    mNotes.push_back(
-      { "leading", { { "term", std::to_string(mLeadingTerm) } } });
+  const bool leads = mRaft->IsLeader() && barrier && mAppliedIndex >= *barrier;
+  if (!mLeader && leads) {
+    mLeaderTerm = mRaft->Term();
+    mLeaderSince = mAt.mNow;
+    mLeader = std::make_unique<leader_core>(
+      mState, mConfig.mFlow, Port(), mLeaderTerm, mAt, mLedUntil);
+    mDecisions.push_back(
+      { "leading", { { "term", std::to_string(mLeaderTerm) } } });
   }
 }
 
-// When a leader last had heard all workers in reach, as far as this process
-// knows: one that has led for a heartbeat's pause. After a pause of its own the
-// process reads what was sent long ago, and takes that for new.
+// Updates mLedUntil: the last time, as far as this process knows, at which a
+// leader had heard from all reachable workers, which takes a term of at least
+// one heartbeat interval. After this process was suspended it receives messages
+// that were sent long ago and would take them for new, so these don't count.
 void
-flow_core::NoteLed()
+flow_core::UpdateLedUntil()
 {
-  constexpr milliseconds kPause{ 1'000 };
-  if (mAt.mNow >= mTickedAt + kPause) {
-    mReadsOldUntil = mAt.mNow + kPause;
+  constexpr milliseconds kMaxTickGap{ 1'000 };
+  if (mAt.mNow >= mLastTickAt + kMaxTickGap) {
+    mIgnoreContactUntil = mAt.mNow + kMaxTickGap;
   }
-  mTickedAt = mAt.mNow;
+  mLastTickAt = mAt.mNow;
   const std::optional<time_point> heard = mRaft->HeardLeaderAt();
   std::optional<time_point> led;
-  if (mLeading && mRaft->MayServe(mAt.mNow)) {
+  if (mLeader && mRaft->MayServe(mAt.mNow)) {
     led = mAt.mNow;
-  } else if (heard && *heard > mReadsOldUntil) {
+  } else if (heard && *heard > mIgnoreContactUntil) {
     led = heard;
   }
   if (!led || *led <= mLedAt) {
@@ -357,16 +365,16 @@
   }
 }
 
-// What was proposed may still be committed: whoever waits is told that the
-// outcome isn't known, and asks the next leader.
+// Proposed commands may still be committed. Open requests therefore fail with
+// an unknown outcome (Timeout), and the callers retry at the next leader.
 void
 flow_core::StepDown()
 {
-  mLeading.reset();
-  mProposed.clear();
-  mNotes.push_back(
-    { "stepped.down", { { "term", std::to_string(mLeadingTerm) } } });
-  const std::set<call_number> open = mOpen;
+  mLeader.reset();
+  mProposals.clear();
+  mDecisions.push_back(
+    { "stepped.down", { { "term", std::to_string(mLeaderTerm) } } });
+  const std::set<call_number> open = mOpenCalls;
   for (const call_number call : open) {
     Answer(call, Fail(error_code::Timeout, "ask", "the leader stepped down"));
   }
@@ -377,58 +385,59 @@
 {
   SetTime(aAt);
   flow_effects out;
-  UpdateLeading();
-  const bool serves = mLeading && mRaft->MayServe(aAt.mNow);
-  if (serves) {
-    mLeading->PlanIfDue();
+  UpdateLeader();
+  const bool mayServe = mLeader && mRaft->MayServe(aAt.mNow);
+  if (mayServe) {
+    mLeader->PlanIfDue();
   }
   out.mRaft = mRaft->TakeEffects();
   if (out.mRaft.mSnapshot) {
     if (const auto read = mState.Restore(out.mRaft.mSnapshot->mState); !read) {
-      mBroken = read.error();
+      mFatalError = read.error();
     }
-    mApplied = out.mRaft.mSnapshot->mIndex;
-    mSnapshotAt = mApplied;
+    mAppliedIndex = out.mRaft.mSnapshot->mIndex;
+    mSnapshotIndex = mAppliedIndex;
   }
   for (const consensus::log_entry& entry : out.mRaft.mCommitted) {
     ApplyEntry(entry);
   }
-  if (!mSnapshotUnderWay && mApplied - mSnapshotAt >= mConfig.mSnapshotEvery) {
+  if (!mIsSnapshotInProgress &&
+      mAppliedIndex - mSnapshotIndex >= mConfig.mSnapshotEvery) {
     StartSnapshot();
   }
-  // Orders carry leases: only one leader may give them.
-  if (mLeading && mRaft->MayServe(aAt.mNow)) {
-    out.mOrders = mLeading->TakeOrders();
-    out.mAdviceCalls = mLeading->TakeAdviceCalls();
+  // Orders grant leases, so only a leader that may serve sends them.
+  if (mLeader && mRaft->MayServe(aAt.mNow)) {
+    out.mOrders = mLeader->TakeOrders();
+    out.mAdviceCalls = mLeader->TakeAdviceCalls();
   }
-  out.mSnapshot = std::exchange(mToStore, nullptr);
+  out.mSnapshot = std::exchange(mSnapshotToStore, nullptr);
   out.mReplies = std::exchange(mReplies, {});
-  out.mDecisions = std::exchange(mNotes, {});
-  out.mFatalError = mBroken;
+  out.mDecisions = std::exchange(mDecisions, {});
+  out.mFatalError = mFatalError;
   return out;
 }
 
 void
 flow_core::ApplyEntry(const consensus::log_entry& aEntry)
 {
-  mApplied = aEntry.mIndex;
+  mAppliedIndex = aEntry.mIndex;
   if (aEntry.mKind != consensus::entry_kind::Command) {
     return;
   }
   const auto decoded = Decode<command>(aEntry.mPayload, "applying the log");
   if (!decoded) {
-    // Going on without it would make this replica differ in silence.
-    mBroken = decoded.error();
+    // Skipping the entry would make this replica diverge unnoticed.
+    mFatalError = decoded.error();
     return;
   }
   const apply_outcome outcome = mState.Apply(*decoded);
   leader_port::on_applied then;
-  if (auto found = mProposed.extract(aEntry.mIndex);
+  if (auto found = mProposals.extract(aEntry.mIndex);
       !found.empty() && found.mapped().mTerm == aEntry.mTerm) {
     then = std::move(found.mapped().mThen);
   }
-  if (mLeading) {
-    mLeading->OnApplied(decoded->mBody, outcome);
+  if (mLeader) {
+    mLeader->OnApplied(decoded->mBody, outcome);
     if (then) {
       then(outcome);
     }
@@ -438,20 +447,21 @@
 void
 flow_core::StartSnapshot()
 {
-  auto made = mRaft->MakeSnapshot(mApplied, mState.Save());
+  auto made = mRaft->MakeSnapshot(mAppliedIndex, mState.Save());
   if (!made) {
-    mBroken = made.error();
+    mFatalError = made.error();
     return;
   }
-  mSnapshotUnderWay = true;
-  mToStore = std::make_shared<const consensus::snapshot>(std::move(*made));
+  mIsSnapshotInProgress = true;
+  mSnapshotToStore =
+    std::make_shared<const consensus::snapshot>(std::move(*made));
 }
 
 void
 flow_core::SnapshotStored(const consensus::snapshot& aSnapshot)
 {
-  mSnapshotUnderWay = false;
-  mSnapshotAt = aSnapshot.mIndex;
+  mIsSnapshotInProgress = false;
+  mSnapshotIndex = aSnapshot.mIndex;
   mRaft->Compact(aSnapshot);
 }
 
--- a/oriolewalk/flow/flow_state.cc
+++ b/oriolewalk/flow/flow_state.cc
@@ -28,7 +28,7 @@
                                            : nullptr;
 }
 
-// The form of a snapshot.
+// The format of a snapshot.
 struct saved_state
 {
   queue_table mTable;
@@ -45,8 +45,8 @@
   }
 };
 
-// As it was before crashes were counted.
-struct former_saved_state
+// The format of snapshots from before crashes were counted.
+struct saved_state_without_crashes
 {
   saved_state mState;
 
@@ -61,7 +61,7 @@
   }
 };
 
-// Any gang member's is the gang's, and all must carry the same.
+// The members of a gang share one checkpoint, which any member may report.
 void
 SetCheckpoint(task_record& aTask,
               step_record& aStep,
@@ -119,7 +119,7 @@
 flow_state::FindTask(const task_ref& aTask) const
 {
   const auto found = mJobs.find(aTask.mJob);
-  // Task() changes nothing; one copy of the look-up serves both.
+  // The const_cast avoids a second copy of the lookup; Task() changes nothing.
   return found == mJobs.end()
            ? nullptr
            : Task(const_cast<job_record&>(found->second), aTask);
@@ -164,7 +164,7 @@
 }
 
 void
-flow_state::placed_book::Add(const run_ref& aRun, const step_spec& aStep)
+flow_state::placed_runs::Add(const run_ref& aRun, const step_spec& aStep)
 {
   mRuns.insert(aRun);
   mAmounts.mBooked += aStep.Booked();
@@ -174,7 +174,7 @@
 }
 
 void
-flow_state::placed_book::Remove(const run_ref& aRun, const step_spec& aStep)
+flow_state::placed_runs::Remove(const run_ref& aRun, const step_spec& aStep)
 {
   mRuns.erase(aRun);
   mAmounts.mBooked -= aStep.Booked();
@@ -213,13 +213,13 @@
 const queue_row&
 flow_state::QueueOf(const job_record& aJob) const
 {
-  const auto found = mQueuePlaces.find(aJob.mQueue.mName);
-  return found == mQueuePlaces.end() ? aJob.mQueue
-                                     : mTable.mQueues[found->second];
+  const auto found = mQueueIndexes.find(aJob.mQueue.mName);
+  return found == mQueueIndexes.end() ? aJob.mQueue
+                                      : mTable.mQueues[found->second];
 }
 
 std::uint32_t
-flow_state::MostAttempts(const job_record& aJob) const
+flow_state::MaxAttempts(const job_record& aJob) const
 {
   return std::max(QueueOf(aJob).mMaxAttempts, 1U);
 }
@@ -228,7 +228,7 @@
 flow_state::On(const put_table& aPut, std::int64_t /*aWallMs*/)
 {
   // A version that is not higher changes nothing and is no error: it may be a
-  // change sent again, or one that a later change has overtaken.
+  // retry, or a later change may have overtaken it.
   if (aPut.mTable.mVersion > mTable.mVersion) {
     mTable = aPut.mTable;
     mTableSource = aPut.mSource;
@@ -241,7 +241,7 @@
 flow_state::On(const submit_job& aSubmit, std::int64_t aWallMs)
 {
   if (mJobs.contains(aSubmit.mId)) {
-    return {}; // the same job, sent again
+    return {}; // a retry of the same submission
   }
   job_record job;
   job.mSpec = aSubmit.mSpec;
@@ -309,21 +309,21 @@
 bool
 flow_state::Start(const run_start& aStart)
 {
-  const task_ref& place = aStart.mRun.mTask;
-  const auto found = mJobs.find(place.mJob);
+  const task_ref& ref = aStart.mRun.mTask;
+  const auto found = mJobs.find(ref.mJob);
   const worker_record* worker = FindWorker(aStart.mWorker);
   if (found == mJobs.end() || !found->second.IsActive() || worker == nullptr ||
       worker->mDraining || mCrashes.HasCrashed(aStart.mWorker)) {
     return false;
   }
   job_record& job = found->second;
-  task_record* task = Task(job, place);
+  task_record* task = Task(job, ref);
   if (task == nullptr || task->mPhase != task_phase::Waiting ||
       aStart.mRun.mAttempt <= task->mAttempt) {
     return false;
   }
-  occurrence_record& occurrence = job.mOccurrences.at(place.mOccurrence);
-  if (!AreDependenciesDone(job, occurrence, place.mStep)) {
+  occurrence_record& occurrence = job.mOccurrences.at(ref.mOccurrence);
+  if (!AreDependenciesDone(job, occurrence, ref.mStep)) {
     return false;
   }
   task->mPhase = task_phase::Placed;
@@ -332,7 +332,7 @@
   occurrence.mHasStarted = true;
   job.mHasStarted = true;
   ++job.mPlacedRuns;
-  mPlaced[aStart.mWorker].Add(aStart.mRun, job.mSpec.mSteps[place.mStep]);
+  mPlaced[aStart.mWorker].Add(aStart.mRun, job.mSpec.mSteps[ref.mStep]);
   return true;
 }
 
@@ -346,10 +346,10 @@
   task->mPhase = step.IsDone() ? task_phase::Done : task_phase::Waiting;
   task->mWorker = 0;
   --job.mPlacedRuns;
-  const auto book = mPlaced.find(aWorker);
-  book->second.Remove(aRun, job.mSpec.mSteps[aRun.mTask.mStep]);
-  if (book->second.mRuns.empty()) {
-    mPlaced.erase(book);
+  const auto placed = mPlaced.find(aWorker);
+  placed->second.Remove(aRun, job.mSpec.mSteps[aRun.mTask.mStep]);
+  if (placed->second.mRuns.empty()) {
+    mPlaced.erase(placed);
   }
   UpdateLive(aRun.mTask.mJob, job);
 }
@@ -359,7 +359,7 @@
 {
   const auto worker = mWorkers.find(aEnd.mWorker);
   if (worker == mWorkers.end()) {
-    return Refuse(error_code::NotFound, "the worker has gone");
+    return Refuse(error_code::NotFound, "the worker has been removed");
   }
   apply_outcome outcome;
   for (const run_end& end : aEnd.mEnds) {
@@ -376,15 +376,14 @@
                 apply_outcome& aOutcome)
 {
   if (!IsPlaced(aEnd.mRun, aWorker)) {
-    return; // listed again, or of an attempt that was given up
+    return; // reported again, or its attempt was withdrawn
   }
-  const task_ref& place = aEnd.mRun.mTask;
-  job_record& job = mJobs.at(place.mJob);
+  const task_ref& ref = aEnd.mRun.mTask;
+  job_record& job = mJobs.at(ref.mJob);
   Release(aEnd.mRun, aWorker);
-  step_record& step =
-    job.mOccurrences.at(place.mOccurrence).mSteps[place.mStep];
+  step_record& step = job.mOccurrences.at(ref.mOccurrence).mSteps[ref.mStep];
   if (job.IsActive() && !step.IsDone()) {
-    CountEnd(aEnd, job, step, job.mSpec.mSteps[place.mStep], aWallMs, aOutcome);
+    CountEnd(aEnd, job, step, job.mSpec.mSteps[ref.mStep], aWallMs, aOutcome);
   }
 }
 
@@ -401,7 +400,7 @@
     SetCheckpoint(task, aStep, aSpec, aEnd.mCheckpoint);
   }
   if (aSpec.mLongRunning) {
-    return; // it is started again, however it ended
+    return; // it is restarted whatever its outcome
   }
   if (aEnd.mOutcome == run_outcome::Done) {
     MarkDone(aEnd.mRun, aStep, aSpec);
@@ -411,9 +410,10 @@
   }
 }
 
-// A gang's members end as done together: one such end stands for all, so that
-// a member whose worker was lost just then is not started again alone. Until a
-// member's own end is listed its room stays booked.
+// The members of a gang are done together: the first member that ends as done
+// completes the step, so that a member whose worker is lost at that moment is
+// not restarted alone. The capacity of each other member stays booked until its
+// own end is reported.
 void
 flow_state::MarkDone(const run_ref& aRun,
                      step_record& aStep,
@@ -450,7 +450,7 @@
   } else {
     failures = ++aStep.mTasks[aRun.mTask.mIndex].mFailures;
   }
-  if (failures >= MostAttempts(aJob)) {
+  if (failures >= MaxAttempts(aJob)) {
     EndJob(aRun.mTask.mJob, aJob, job_state::Failed, aWallMs, aOutcome);
   }
 }
@@ -488,8 +488,8 @@
   aJob.mEndedWallMs = aWallMs;
   aOutcome.mEndedJobs.push_back(aId);
   UpdateLive(aId, aJob);
-  // What made a job fail is kept for as long as the job is shown. Plans go
-  // through what is kept.
+  // A failed job's crash records are kept for as long as the job is shown.
+  // Other records are erased, since plans iterate over all of them.
   if (aState != job_state::Failed) {
     mCrashes.ForgetJob(aId);
   }
@@ -527,11 +527,11 @@
 }
 
 apply_outcome
-flow_state::On(const mark_runs_lost& aLose, std::int64_t /*aWallMs*/)
+flow_state::On(const mark_runs_lost& aLost, std::int64_t /*aWallMs*/)
 {
-  const std::vector<run_ref> lost = ReleaseAll(aLose.mWorker, aLose.mRuns);
+  const std::vector<run_ref> lost = ReleaseAll(aLost.mWorker, aLost.mRuns);
   if (!lost.empty()) {
-    mCrashes.OnRunsLost(aLose.mWorker, lost);
+    mCrashes.OnRunsLost(aLost.mWorker, lost);
   }
   return {};
 }
@@ -547,20 +547,20 @@
 flow_state::On(const record_worker_crash& aCrash, std::int64_t aWallMs)
 {
   if (FindWorker(aCrash.mWorker) == nullptr) {
-    return Refuse(error_code::NotFound, "the worker has gone");
+    return Refuse(error_code::NotFound, "the worker has been removed");
   }
   apply_outcome outcome;
   for (const task_ref& task :
        mCrashes.OnCrash(aCrash.mWorker, RunsAt(aCrash.mWorker), aCrash)) {
-    GiveUpIfCrashing(task, aWallMs, outcome);
+    FailJobIfCrashing(task, aWallMs, outcome);
   }
   return outcome;
 }
 
 void
-flow_state::GiveUpIfCrashing(const task_ref& aTask,
-                             std::int64_t aWallMs,
-                             apply_outcome& aOutcome)
+flow_state::FailJobIfCrashing(const task_ref& aTask,
+                              std::int64_t aWallMs,
+                              apply_outcome& aOutcome)
 {
   const step_record* step = FindStepRecord(aTask);
   if (step == nullptr || step->IsDone() || !mCrashes.ShouldAbandon(aTask) ||
@@ -579,16 +579,17 @@
 {
   apply_outcome outcome;
   worker_number number = NumberOf(aWorker.mDescription.mId);
-  const std::int64_t known =
+  const std::int64_t knownStartMs =
     number == 0 ? 0 : mWorkers.at(number).mDescription.mProcessStartMs;
-  if (aWorker.mDescription.mProcessStartMs < known) {
-    return Refuse(error_code::Conflict, "an earlier life of the worker");
-  }
-  // Without a number of its own a life's ends are measured by the cursor of the
-  // one before: they are passed over, and their tasks start again or never. By
-  // it all that is kept of a worker begins anew, and commands on the life
-  // before that are still under way find nobody.
-  if (number == 0 || aWorker.mDescription.mProcessStartMs > known) {
+  if (aWorker.mDescription.mProcessStartMs < knownStartMs) {
+    return Refuse(error_code::Conflict, "an earlier incarnation of the worker");
+  }
+  // Each incarnation needs a number of its own. Otherwise its ends would be
+  // compared with the cursor of the previous incarnation and be skipped, and
+  // their tasks would start again or never. A new number also resets all that
+  // is kept of a worker, and commands for the previous incarnation that are
+  // still in flight have no effect.
+  if (number == 0 || aWorker.mDescription.mProcessStartMs > knownStartMs) {
     outcome.mPreviousIncarnation = std::exchange(number, ++mLastWorker);
     mNumbers[aWorker.mDescription.mId] = number;
   }
@@ -596,27 +597,27 @@
   record.mDescription = aWorker.mDescription;
   record.mDraining = record.mDraining || aWorker.mDraining;
   if (outcome.mPreviousIncarnation != 0) {
-    MovePlaced(outcome.mPreviousIncarnation, number);
+    MoveRuns(outcome.mPreviousIncarnation, number);
     mWorkers.erase(outcome.mPreviousIncarnation);
     mCrashes.ForgetWorker(outcome.mPreviousIncarnation);
   }
   return outcome;
 }
 
-// Given up here, a task could start elsewhere while a start that was on its way
-// to the former process is carried out by the new one.
+// If the runs were released instead, a task could start elsewhere while the new
+// process carries out a start order that was in flight to the previous one.
 void
-flow_state::MovePlaced(worker_number aFrom, worker_number aTo)
+flow_state::MoveRuns(worker_number aFrom, worker_number aTo)
 {
-  auto book = mPlaced.extract(aFrom);
-  if (book.empty()) {
+  auto placed = mPlaced.extract(aFrom);
+  if (placed.empty()) {
     return;
   }
-  for (const run_ref& run : book.mapped().mRuns) {
+  for (const run_ref& run : placed.mapped().mRuns) {
     Task(mJobs.at(run.mTask.mJob), run.mTask)->mWorker = aTo;
   }
-  book.key() = aTo;
-  mPlaced.insert(std::move(book));
+  placed.key() = aTo;
+  mPlaced.insert(std::move(placed));
 }
 
 apply_outcome
@@ -629,7 +630,7 @@
   apply_outcome outcome;
   if (!found->second.mDraining) {
     for (const task_ref& task : mCrashes.OnWorkerRemoved(aWorker.mWorker)) {
-      GiveUpIfCrashing(task, aWallMs, outcome);
+      FailJobIfCrashing(task, aWallMs, outcome);
     }
   }
   const std::set<run_ref> runs = RunsAt(aWorker.mWorker);
@@ -656,20 +657,20 @@
 }
 
 apply_outcome
-flow_state::On(const save_checkpoints& aKeep, std::int64_t /*aWallMs*/)
+flow_state::On(const save_checkpoints& aSave, std::int64_t /*aWallMs*/)
 {
-  for (const run_checkpoint& kept : aKeep.mRuns) {
-    const task_ref& place = kept.mRun.mTask;
-    const auto found = mJobs.find(place.mJob);
+  for (const run_checkpoint& saved : aSave.mRuns) {
+    const task_ref& ref = saved.mRun.mTask;
+    const auto found = mJobs.find(ref.mJob);
     task_record* task =
-      found == mJobs.end() ? nullptr : Task(found->second, place);
+      found == mJobs.end() ? nullptr : Task(found->second, ref);
     if (task != nullptr && task->mPhase == task_phase::Placed &&
-        task->mAttempt == kept.mRun.mAttempt) {
+        task->mAttempt == saved.mRun.mAttempt) {
       job_record& job = found->second;
       SetCheckpoint(*task,
-                    job.mOccurrences.at(place.mOccurrence).mSteps[place.mStep],
-                    job.mSpec.mSteps[place.mStep],
-                    kept.mCheckpoint);
+                    job.mOccurrences.at(ref.mOccurrence).mSteps[ref.mStep],
+                    job.mSpec.mSteps[ref.mStep],
+                    saved.mCheckpoint);
     }
   }
   return {};
@@ -688,11 +689,11 @@
   constexpr std::string_view kWhat = "restoring the workflow state";
   auto read = Decode<saved_state>(aBytes, kWhat);
   if (!read) {
-    auto former = Decode<former_saved_state>(aBytes, kWhat);
-    if (!former) {
+    auto older = Decode<saved_state_without_crashes>(aBytes, kWhat);
+    if (!older) {
       return Fail(read.error());
     }
-    read = std::move(former->mState);
+    read = std::move(older->mState);
   }
   mTable = std::move(read->mTable);
   mTableSource = std::move(read->mTableSource);
@@ -718,27 +719,27 @@
     UpdateLive(id, job);
     for (const auto& [number, occurrence] : job.mOccurrences) {
       for (std::uint32_t step = 0; step < occurrence.mSteps.size(); ++step) {
-        BookPlaced({ id, number, step, 0 }, job, occurrence.mSteps[step]);
+        IndexPlacedTasks({ id, number, step, 0 }, job, occurrence.mSteps[step]);
       }
     }
   }
 }
 
-// A table may have hundreds of queues, and every plan asks for the queue of
-// each open job.
+// The index makes lookups fast: a table may have hundreds of queues, and every
+// plan looks up the queue of each open job.
 void
 flow_state::IndexQueues()
 {
-  mQueuePlaces.clear();
-  for (std::size_t place = 0; place < mTable.mQueues.size(); ++place) {
-    mQueuePlaces[mTable.mQueues[place].mName] = place;
+  mQueueIndexes.clear();
+  for (std::size_t index = 0; index < mTable.mQueues.size(); ++index) {
+    mQueueIndexes[mTable.mQueues[index].mName] = index;
   }
 }
 
 void
-flow_state::BookPlaced(task_ref aFirst,
-                       const job_record& aJob,
-                       const step_record& aStep)
+flow_state::IndexPlacedTasks(task_ref aFirst,
+                             const job_record& aJob,
+                             const step_record& aStep)
 {
   for (const task_record& task : aStep.mTasks) {
     if (task.mPhase == task_phase::Placed) {
