--- a/oriolewalk/flow/advice_cache.cc
+++ b/oriolewalk/flow/advice_cache.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-// Until something is learnt: half of the workers.
-constexpr double kFirstShare = 0.5;
-// About ten answers decide.
-constexpr double kLearning = 0.1;
-constexpr double kLeastShare = 0.1;
+// Half of the workers, until the first answer arrives.
+constexpr double kInitialRate = 0.5;
+// The smoothing factor averages over about ten answers.
+constexpr double kSmoothing = 0.1;
+constexpr double kMinRate = 0.1;
 
 } // namespace
 
@@ -21,31 +21,32 @@
 advice_cache::OnAnswer(
   const step_ref& aStep,
   std::string_view aQueue,
-  const std::vector<std::pair<worker_number, worker_id>>& aAsked,
+  const std::vector<std::pair<worker_number, worker_id>>& aQueried,
   const std::vector<approval>& aApproved,
   time_point aValidUntil)
 {
-  if (aAsked.empty()) {
+  if (aQueried.empty()) {
     return;
   }
   auto& tickets = mTickets[aStep];
-  std::size_t fresh = 0;
-  std::size_t good = 0;
-  for (const auto& [number, id] : aAsked) {
+  std::size_t newVerdicts = 0;
+  std::size_t newApprovals = 0;
+  for (const auto& [number, id] : aQueried) {
     const auto row = std::ranges::find(aApproved, id, &approval::mWorker);
     const bool approved = row != aApproved.end();
     const bool known = tickets.contains(number);
     tickets[number] = { approved,
                         approved ? row->mTicket : std::string(),
                         aValidUntil };
-    fresh += known ? 0 : 1;
-    good += !known && approved ? 1 : 0;
+    newVerdicts += known ? 0 : 1;
+    newApprovals += !known && approved ? 1 : 0;
   }
-  if (fresh > 0) {
-    auto [share, first] = mShares.try_emplace(std::string(aQueue), kFirstShare);
-    const double seen = static_cast<double>(good) / static_cast<double>(fresh);
-    share->second += kLearning * (seen - share->second);
-    share->second = std::max(share->second, kLeastShare);
+  if (newVerdicts > 0) {
+    auto [rate, isNew] = mRates.try_emplace(std::string(aQueue), kInitialRate);
+    const double observed =
+      static_cast<double>(newApprovals) / static_cast<double>(newVerdicts);
+    rate->second += kSmoothing * (observed - rate->second);
+    rate->second = std::max(rate->second, kMinRate);
   }
 }
 
@@ -87,8 +88,8 @@
   if (step == mTickets.end()) {
     return approved;
   }
-  for (const auto& [number, held] : step->second) {
-    if (held.mApproved && aNow < held.mValidUntil) {
+  for (const auto& [number, entry] : step->second) {
+    if (entry.mApproved && aNow < entry.mValidUntil) {
       approved.push_back(number);
     }
   }
@@ -126,8 +127,8 @@
 double
 advice_cache::ApprovalRate(std::string_view aQueue) const
 {
-  const auto found = mShares.find(aQueue);
-  return found == mShares.end() ? kFirstShare : found->second;
+  const auto found = mRates.find(aQueue);
+  return found == mRates.end() ? kInitialRate : found->second;
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/advice_cache.h
+++ b/oriolewalk/flow/advice_cache.h
@@ -1,14 +1,17 @@
 #pragma once
 
-// What the policy service has said: which workers may run a step, and by which
-// ticket.
+// Caches the policy service's verdicts: which workers may run a step, and the
+// ticket that authorises each of them.
 //
-//   advice_book book;
-//   book.Answered(step, asked, approved, validity, now);
-//   if (const auto* ticket = book.TicketFor(step, worker, now)) { ... }
+//   advice_cache advice;
+//   advice.OnAnswer(step, queue, queried, approved, validUntil);
+//   if (advice.VerdictFor(step, worker, now) == verdict::Approved) {
+//     const std::string ticket = advice.TicketFor(step, worker, now); ...
+//   }
 //
-// A verdict on a worker stays for the step; a ticket runs out and may be
-// asked for again. Soft state of the leader; a new leader asks anew.
+// A verdict on a worker is final for the step. A ticket expires and can be
+// renewed by another query. Soft state of the leader: a new leader starts with
+// an empty cache and queries again.
 
 #include <cstdint>
 #include <map>
@@ -22,7 +25,7 @@
 
 namespace oriolewalk::flow {
 
-// A step of one occurrence: what the policy service is asked about.
+// A step of one occurrence, the subject of an advice query.
 struct step_ref
 {
   job_id mJob;
@@ -54,19 +57,20 @@
   Unknown,
   Refused,
   Approved, // with a ticket that is valid now
-  Expired,  // approved, but its ticket has run out
+  Expired,  // approved, but its ticket has expired
 };
 
 class advice_cache
 {
 public:
-  // aQueue names what the share of approvals is learnt by.
-  void OnAnswer(const step_ref& aStep,
-                std::string_view aQueue,
-                const std::vector<std::pair<worker_number, worker_id>>& aAsked,
-                const std::vector<approval>& aApproved,
-                time_point aValidUntil);
-  // Whether there is any verdict on the step.
+  // Records the answer to a query. The approval rate is tracked per aQueue.
+  void OnAnswer(
+    const step_ref& aStep,
+    std::string_view aQueue,
+    const std::vector<std::pair<worker_number, worker_id>>& aQueried,
+    const std::vector<approval>& aApproved,
+    time_point aValidUntil);
+  // Whether any worker has a verdict for the step.
   [[nodiscard]] bool HasVerdict(const step_ref& aStep) const
   {
     return mTickets.contains(aStep);
@@ -74,23 +78,23 @@
   [[nodiscard]] verdict VerdictFor(const step_ref& aStep,
                                    worker_number aWorker,
                                    time_point aNow) const;
-  // For how long the ticket holds on; zero, if there is none.
+  // How long the ticket remains valid; zero if there is no valid ticket.
   [[nodiscard]] duration RemainingValidity(const step_ref& aStep,
                                            worker_number aWorker,
                                            time_point aNow) const;
-  // Those with a ticket that is valid at aNow; with time_point::min() also
-  // those whose ticket has run out. Linear in the workers asked about.
+  // Workers with a ticket that is valid at aNow. Passing time_point::min()
+  // includes workers whose ticket has expired. Linear in the queried workers.
   [[nodiscard]] std::vector<worker_number> ApprovedWorkers(
     const step_ref& aStep,
     time_point aNow) const;
-  // Empty if there is no valid one.
+  // Empty if there is no valid ticket.
   [[nodiscard]] std::string TicketFor(const step_ref& aStep,
                                       worker_number aWorker,
                                       time_point aNow) const;
-  // A worker refused the ticket: it is out of date.
+  // Marks the ticket as expired, because the worker refused it.
   void Expire(const step_ref& aStep, worker_number aWorker);
   void Forget(const job_id& aJob);
-  // The share of workers that the policy approves, in (0, 1].
+  // The expected fraction of workers that the policy approves, in (0, 1].
   [[nodiscard]] double ApprovalRate(std::string_view aQueue) const;
 
 private:
@@ -102,7 +106,7 @@
   };
 
   std::map<step_ref, std::map<worker_number, ticket>> mTickets;
-  std::map<std::string, double, std::less<>> mShares;
+  std::map<std::string, double, std::less<>> mRates; // approval, by queue
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/advice_queries.cc
+++ b/oriolewalk/flow/advice_queries.cc
@@ -12,55 +12,58 @@
 
 namespace {
 
-// A question names at most so many workers (the policy service's bound). A wide
-// step of a queue whose policy approves a third needs 60 for its 20 tasks; at
-// 40 it asked again and again, until all advisors were busy.
-constexpr std::size_t kMostNamed = 100;
-// Named beyond what is expected to suffice, so that one question does: room
-// that is there now may be gone when the answer comes.
-constexpr double kNameMargin = 1.3;
-constexpr double kNameMore = 1;
-// And as many more as cost the policy service this: a second question costs a
-// cheap queue several times as much.
-constexpr double kNameMoreMs = 8;
-// Each worker named makes the answer later. A step of the first queues waits
-// for it with its callers watching: beyond its need it names this part of what
-// others name. At 1,100 workers half of the first starts took 72 ms instead of
-// 90 ms, and 0.89 and 0.88 -> 0.90 of a burst's urgent jobs were in time (made
-// time).
-constexpr double kUrgentPart = 1.0 / 3;
-// Room for so many tasks at known workers, were they empty, for each task that
-// waits. Below this a step asks about full workers too, since each of the few
-// may stay full; at four fifths of all room in use a third of it comes free in
-// time. Where advisors are plentiful it asks about all that it can afford; so
-// does a gang, whose places must have room all at once.
-constexpr double kKnownForTask = 3;
-// A ticket that runs out before a renewal would be back is renewed now: the way
-// to the policy service and back over a busy entry.
-constexpr milliseconds kRenewalWay{ 200 };
+// The policy service accepts at most this many workers in a query. A wide step
+// of a queue whose policy approves a third of the workers needs 60 for its 20
+// tasks. With a limit of 40 it queried repeatedly until all advisors were busy.
+constexpr std::size_t kMaxQueried = 100;
+// A query includes more workers than are expected to suffice, so that a second
+// one isn't needed: capacity that is free now may be taken when the answer
+// arrives.
+constexpr double kQueryMargin = 1.3;
+constexpr double kExtraTasks = 1;
+// It also includes as many more workers as the policy service checks in this
+// time, because a second query costs a cheap queue several times as much.
+constexpr double kExtraMs = 8;
+// Each worker in a query delays the answer. A step of a queue of priority 0 is
+// the most sensitive to that delay: beyond its need it includes only this
+// fraction of the extra workers that other steps include. At 1,100 workers this
+// reduces the median time to the first start from 90 ms to 72 ms, and raises
+// the fraction of a burst's urgent jobs that are in time from 0.89 and 0.88 to
+// 0.90.
+constexpr double kUrgentFraction = 1.0 / 3;
+// For each waiting task, the number of tasks that the workers with a verdict
+// should be able to hold when empty. Below this a step includes full workers
+// too, since each of the few workers may stay full: with four fifths of the
+// capacity in use, a third of it becomes free in time. When there are surplus
+// advisors, a step includes all workers that it can afford. A gang always does,
+// because its members need capacity at the same time.
+constexpr double kVerdictsPerTask = 3;
+// A ticket is renewed early if it would expire before the renewal's answer
+// arrives. This is the round trip to the policy service over a busy entry.
+constexpr milliseconds kRenewalRoundTrip{ 200 };
 
-// In the order in which they are named.
-enum class use : std::uint8_t
+// Why a worker is included, in the order in which workers are selected.
+enum class query_reason : std::uint8_t
 {
-  Renewal, // approved; its ticket is needed now
-  Room,    // unknown, and has room now
-  Along,   // approved; renewed with others, for room that falls free soon
-  Ahead,   // unknown and full: for later
+  Renewal,     // approved, and its ticket is needed now
+  Capacity,    // no verdict yet, and has free capacity now
+  Opportunity, // approved; renewed in passing, for capacity that is freed soon
+  Ahead,       // no verdict yet, and full: for later
 };
 
-struct nominee
+struct candidate
 {
-  use mUse = use::Ahead;
+  query_reason mReason = query_reason::Ahead;
   double mScore = 0;
   const plan_worker* mWorker = nullptr;
 };
 
-// How many of the step's tasks would be put there: half of what fits, since
-// others want the room as well.
+// How many of the step's tasks are expected to start in the capacity: half of
+// those that fit, since other steps compete for it.
 double
-TasksAt(const open_step& aStep, const cell::resources& aRoom)
+ExpectedTasks(const open_step& aStep, const cell::resources& aCapacity)
 {
-  const std::int64_t fit = aStep.mSpec->Booked().TimesIn(aRoom);
+  const std::int64_t fit = aStep.mSpec->Booked().TimesIn(aCapacity);
   std::int64_t tasks = std::max<std::int64_t>(1, fit / 2);
   if (aStep.mSpec->mMaxPerWorker > 0) {
     tasks = std::min<std::int64_t>(tasks, aStep.mSpec->mMaxPerWorker);
@@ -68,26 +71,25 @@
   return static_cast<double>(tasks);
 }
 
-// As many as a worker takes if it is empty.
+// How many of the step's tasks fit in the worker when it is empty.
 double
-TasksIfEmpty(const open_step& aStep, const plan_worker& aWorker)
+TasksWhenEmpty(const open_step& aStep, const plan_worker& aWorker)
 {
   const std::int64_t fit =
     aStep.mSpec->Booked().TimesIn(aWorker.mDescription->mCapacity);
-  const std::uint32_t most = aStep.mSpec->mMaxPerWorker;
-  return static_cast<double>(most > 0 ? std::min<std::int64_t>(fit, most)
-                                      : fit);
+  const std::uint32_t max = aStep.mSpec->mMaxPerWorker;
+  return static_cast<double>(max > 0 ? std::min<std::int64_t>(fit, max) : fit);
 }
 
-class nomination
+class worker_selection
 {
 public:
-  nomination(const open_step& aStep,
-             const query_need& aNeed,
-             std::span<plan_worker* const> aWorkers,
-             const advice_cache& aAdvice,
-             const plan_policy& aPolicy,
-             time_point aNow)
+  worker_selection(const open_step& aStep,
+                   const query_need& aNeed,
+                   std::span<plan_worker* const> aWorkers,
+                   const advice_cache& aAdvice,
+                   const plan_policy& aPolicy,
+                   time_point aNow)
     : mStep(aStep)
     , mNeed(aNeed)
     , mTerms(*aStep.mQueue->mAdvice)
@@ -98,24 +100,24 @@
         Consider(*worker, aPolicy, aNow);
       }
     }
-    std::ranges::make_heap(mNominees, IsAfter);
+    std::ranges::make_heap(mCandidates, IsAfter);
   }
 
-  std::vector<worker_number> Choose()
+  std::vector<worker_number> Select()
   {
-    std::vector<worker_number> named;
-    // Few are named of many: the rest needs no order.
-    while (!mNominees.empty() && named.size() < kMostNamed &&
-           !HasEnough(named.size())) {
-      std::ranges::pop_heap(mNominees, IsAfter);
-      const nominee one = mNominees.back();
-      mNominees.pop_back();
-      if (IsWanted(one, named.size())) {
-        Count(one);
-        named.push_back(one.mWorker->mNumber);
+    std::vector<worker_number> selected;
+    // Few of many candidates are selected, so a heap is cheaper than a sort.
+    while (!mCandidates.empty() && selected.size() < kMaxQueried &&
+           !HasEnough(selected.size())) {
+      std::ranges::pop_heap(mCandidates, IsAfter);
+      const candidate next = mCandidates.back();
+      mCandidates.pop_back();
+      if (IsWanted(next, selected.size())) {
+        Count(next);
+        selected.push_back(next.mWorker->mNumber);
       }
     }
-    return named;
+    return selected;
   }
 
 private:
@@ -124,114 +126,120 @@
                 time_point aNow)
   {
     const verdict known = mAdvice.VerdictFor(mStep.mRef, aWorker.mNumber, aNow);
-    const bool held = mNeed.mReserved.contains(aWorker.mNumber);
-    const bool room = FitsNow(mStep, aWorker) || held;
+    const bool isReserved = mNeed.mReserved.contains(aWorker.mNumber);
+    const bool hasCapacity = FitsNow(mStep, aWorker) || isReserved;
     if (known == verdict::Refused) {
       return;
     }
     if (known != verdict::Unknown) {
-      mKnown += TasksIfEmpty(mStep, aWorker);
+      mKnownTasks += TasksWhenEmpty(mStep, aWorker);
     }
-    const bool due =
+    const bool isRenewalDue =
       known == verdict::Expired ||
-      (known == verdict::Approved && held &&
+      (known == verdict::Approved && isReserved &&
        mAdvice.RemainingValidity(mStep.mRef, aWorker.mNumber, aNow) <
-         AdviceTime(mTerms, 1) + kRenewalWay);
-    if (due && room) {
-      Add(use::Renewal, aWorker, aPolicy);
+         AdviceTime(mTerms, 1) + kRenewalRoundTrip);
+    if (isRenewalDue && hasCapacity) {
+      Add(query_reason::Renewal, aWorker, aPolicy);
     } else if (known != verdict::Unknown) {
-      Add(use::Along, aWorker, aPolicy);
+      Add(query_reason::Opportunity, aWorker, aPolicy);
     } else if (known == verdict::Unknown && !aWorker.mAvoided &&
-               (room || aPolicy.mQueriesAhead)) {
-      Add(room ? use::Room : use::Ahead, aWorker, aPolicy);
+               (hasCapacity || aPolicy.mQueriesAhead)) {
+      Add(hasCapacity ? query_reason::Capacity : query_reason::Ahead,
+          aWorker,
+          aPolicy);
     }
   }
 
-  static bool IsAfter(const nominee& aOne, const nominee& aOther)
+  static bool IsAfter(const candidate& aOne, const candidate& aOther)
   {
-    const auto place = [](const nominee& aNominee) {
+    const auto rank = [](const candidate& aCandidate) {
       return std::make_tuple(
-        aNominee.mUse, -aNominee.mScore, aNominee.mWorker->mNumber);
+        aCandidate.mReason, -aCandidate.mScore, aCandidate.mWorker->mNumber);
     };
-    return place(aOne) > place(aOther);
+    return rank(aOne) > rank(aOther);
   }
 
-  static bool HasRoom(const nominee& aOne)
+  static bool HasCapacity(const candidate& aOne)
   {
-    return aOne.mUse == use::Renewal || aOne.mUse == use::Room;
+    return aOne.mReason == query_reason::Renewal ||
+           aOne.mReason == query_reason::Capacity;
   }
-  static bool IsUnknown(const nominee& aOne)
+  static bool HasNoVerdict(const candidate& aOne)
   {
-    return aOne.mUse == use::Room || aOne.mUse == use::Ahead;
+    return aOne.mReason == query_reason::Capacity ||
+           aOne.mReason == query_reason::Ahead;
   }
 
   [[nodiscard]] double Tasks() const
   {
     return static_cast<double>(mNeed.mTasks);
   }
-  // What the step names beyond its need, as a part of what others name.
-  [[nodiscard]] double Part() const
+  // The fraction of the usual extra workers that the step includes.
+  [[nodiscard]] double ExtraFraction() const
   {
-    return mStep.mQueue->mPriority == 0 ? kUrgentPart : 1;
+    return mStep.mQueue->mPriority == 0 ? kUrgentFraction : 1;
   }
-  // Those with room are expected to take all tasks.
-  [[nodiscard]] bool HasRoomForAll() const
+  // The selected workers with free capacity are expected to run all tasks.
+  [[nodiscard]] bool HasCapacityForAll() const
   {
-    return mGood >= Tasks() * kNameMargin + kNameMore;
+    return mExpectedTasks >= Tasks() * kQueryMargin + kExtraTasks;
   }
-  [[nodiscard]] std::size_t Spare() const
+  [[nodiscard]] std::size_t MaxExtra() const
   {
-    return static_cast<std::size_t>(Affordable(Part() * kNameMoreMs));
+    return static_cast<std::size_t>(Affordable(ExtraFraction() * kExtraMs));
   }
-  // One more costs less than the question itself.
-  [[nodiscard]] bool IsCheap(std::size_t aNamed) const
+  // One more worker costs less than the query itself.
+  [[nodiscard]] bool IsCheap(std::size_t aSelected) const
   {
-    return aNamed <
-           static_cast<std::size_t>(Affordable(Part() * mTerms.mBaseMs));
+    return aSelected < static_cast<std::size_t>(
+                         Affordable(ExtraFraction() * mTerms.mBaseMs));
   }
-  // No other one would be wanted, whatever it is.
-  [[nodiscard]] bool HasEnough(std::size_t aNamed) const
+  // No further candidate would be wanted, whatever its reason.
+  [[nodiscard]] bool HasEnough(std::size_t aSelected) const
   {
-    return HasRoomForAll() && mBeyond >= Spare() && !IsCheap(aNamed);
+    return HasCapacityForAll() && mExtra >= MaxExtra() && !IsCheap(aSelected);
   }
 
-  // Whether to name it beside the aNamed ones before it.
-  bool IsWanted(const nominee& aOne, std::size_t aNamed)
+  // Whether to include aOne in addition to the aSelected workers before it.
+  bool IsWanted(const candidate& aOne, std::size_t aSelected)
   {
-    if (HasRoom(aOne) && (!HasRoomForAll() || ++mBeyond <= Spare())) {
+    if (HasCapacity(aOne) && (!HasCapacityForAll() || ++mExtra <= MaxExtra())) {
       return true;
     }
-    if (!IsCheap(aNamed)) {
+    if (!IsCheap(aSelected)) {
       return false;
     }
-    if (aOne.mUse == use::Along) {
-      return aNamed > 0;
+    if (aOne.mReason == query_reason::Opportunity) {
+      return aSelected > 0;
     }
-    return IsUnknown(aOne) &&
+    return HasNoVerdict(aOne) &&
            (mNeed.mHasSurplusAdvisors || mStep.mSpec->mGang ||
-            mKnown < kKnownForTask * Tasks());
+            mKnownTasks < kVerdictsPerTask * Tasks());
   }
 
-  void Count(const nominee& aOne)
+  void Count(const candidate& aOne)
   {
     const plan_worker& worker = *aOne.mWorker;
-    const double share = mAdvice.ApprovalRate(mStep.mQueue->mName);
-    if (HasRoom(aOne)) {
-      mGood += (aOne.mUse == use::Renewal ? 1 : share) *
-               TasksAt(mStep, worker.mFree - worker.mReserved);
+    const double rate = mAdvice.ApprovalRate(mStep.mQueue->mName);
+    if (HasCapacity(aOne)) {
+      mExpectedTasks += (aOne.mReason == query_reason::Renewal ? 1 : rate) *
+                        ExpectedTasks(mStep, worker.mFree - worker.mReserved);
     }
-    if (IsUnknown(aOne)) {
-      mKnown += share * TasksIfEmpty(mStep, worker);
+    if (HasNoVerdict(aOne)) {
+      mKnownTasks += rate * TasksWhenEmpty(mStep, worker);
     }
   }
 
-  void Add(use aUse, const plan_worker& aWorker, const plan_policy& aPolicy)
+  void Add(query_reason aReason,
+           const plan_worker& aWorker,
+           const plan_policy& aPolicy)
   {
-    mNominees.push_back(
-      { aUse, PlacementScore(mStep, aWorker, aPolicy), &aWorker });
+    mCandidates.push_back(
+      { aReason, PlacementScore(mStep, aWorker, aPolicy), &aWorker });
   }
 
-  // Workers that the policy service looks at in this time.
+  // The number of workers that the policy service checks in this time.
   [[nodiscard]] double Affordable(double aMs) const
   {
     return mTerms.mPerWorkerMs > 0 ? aMs / mTerms.mPerWorkerMs : aMs;
@@ -241,19 +249,21 @@
   const query_need& mNeed;
   const advice_timing& mTerms;
   const advice_cache& mAdvice;
-  std::vector<nominee> mNominees;
-  double mGood = 0; // tasks that those with room are expected to take
-  std::size_t mBeyond = 0;
-  double mKnown = 0; // tasks that known workers take if they are empty
+  std::vector<candidate> mCandidates;
+  // Tasks that the selected workers with free capacity are expected to run.
+  double mExpectedTasks = 0;
+  std::size_t mExtra = 0; // workers selected beyond the need
+  // Tasks that fit in the workers with a verdict when those are empty.
+  double mKnownTasks = 0;
 };
 
 } // namespace
 
 milliseconds
-AdviceTime(const advice_timing& aTerms, std::size_t aNamed)
+AdviceTime(const advice_timing& aTerms, std::size_t aWorkerCount)
 {
   return milliseconds(static_cast<std::int64_t>(std::ceil(
-    aTerms.mBaseMs + aTerms.mPerWorkerMs * static_cast<double>(aNamed))));
+    aTerms.mBaseMs + aTerms.mPerWorkerMs * static_cast<double>(aWorkerCount))));
 }
 
 std::vector<worker_number>
@@ -264,7 +274,8 @@
                const plan_policy& aPolicy,
                time_point aNow)
 {
-  return nomination(aStep, aNeed, aWorkers, aAdvice, aPolicy, aNow).Choose();
+  return worker_selection(aStep, aNeed, aWorkers, aAdvice, aPolicy, aNow)
+    .Select();
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/advice_queries.h
+++ b/oriolewalk/flow/advice_queries.h
@@ -1,16 +1,17 @@
 #pragma once
 
-// The stage of a plan that chooses what to ask the policy service: of which
-// workers the verdict on a step is worth knowing.
+// The stage of a plan that selects the workers to include in an advice query to
+// the policy service.
 //
-//   const auto named = WorkersToName(step, need, workers, book, policy, now);
+//   const auto numbers =
+//     WorkersToQuery(step, need, workers, advice, policy, now);
 //
-// The load it answers: a policy service that takes 0.03 to 1.5 s for an answer,
-// one question at a time for each that asks. A verdict stays, so a step that
-// has asked about enough workers once only renews tickets. Asked about one
-// worker with room at a time, a step took 16 questions and 48 s to its start.
+// The policy service takes 0.03 to 1.5 s to answer, and each advisor relays one
+// query at a time. A verdict is final, so a step that has queried enough
+// workers once only renews tickets afterwards. When each query included a
+// single worker with free capacity, a step took 16 queries and 48 s to start.
 //
-// Pure. Cost: the service's workers.
+// Pure. The cost is linear in the service's workers.
 
 #include <set>
 #include <span>
@@ -26,19 +27,19 @@
   std::vector<worker_number> mWorkers;
 };
 
-// What a question of aNamed workers takes at the policy service.
+// How long the policy service takes to answer a query about this many workers.
 milliseconds
-AdviceTime(const advice_timing& aTerms, std::size_t aNamed);
+AdviceTime(const advice_timing& aTerms, std::size_t aWorkerCount);
 
-// What a question is wanted for.
+// What a step needs a query for.
 struct query_need
 {
-  std::size_t mTasks = 0;            // that wait for a place
-  std::set<worker_number> mReserved; // where room is kept for them
-  bool mHasSurplusAdvisors = false;  // nobody else needs the advisors
+  std::size_t mTasks = 0;            // waiting tasks
+  std::set<worker_number> mReserved; // workers with capacity reserved for them
+  bool mHasSurplusAdvisors = false;  // no other step needs the advisors
 };
 
-// Empty: there is nothing worth asking.
+// Empty if no query is worthwhile.
 std::vector<worker_number>
 WorkersToQuery(const open_step& aStep,
                const query_need& aNeed,
--- a/oriolewalk/flow/advisors.cc
+++ b/oriolewalk/flow/advisors.cc
@@ -7,19 +7,22 @@
 
 namespace {
 
-// At most this share of the advisors is kept for the first queues, and no more
-// than they had at a time of late and two. In a burst at 350 workers 31 of 36
-// advisors carried other queues' questions, and an urgent one waited 0.55 s; a
-// fixed third was idle for most of a day while other queues waited for one.
-constexpr std::size_t kMostKept = 3; // one in so many
-constexpr std::size_t kKeptBeyondPeak = 2;
-// What no other queue can take from one that waits: this part of an equal
-// share, and one advisor at least. Equal shares starved the queue of gangs,
-// whose questions are the dearest: each took half a second of an advisor, and
-// the queue had as many of them as one whose questions take 20 ms.
-constexpr std::size_t kFloor = 4;
-// Questions ahead of time are put while at least this share is free.
-constexpr std::size_t kPlentiful = 2; // one in so many
+// At most one in kMaxReservedDivisor advisors is reserved for the top-priority
+// queues, and no more than their recent peak plus kReservedBeyondPeak. Without
+// a reserve, 31 of 36 advisors relayed other queues' queries in a burst at 350
+// workers, and an urgent query waited 0.55 s. A fixed reserve of a third stayed
+// idle for most of a day while other queues waited for an advisor.
+constexpr std::size_t kMaxReservedDivisor = 3;
+constexpr std::size_t kReservedBeyondPeak = 2;
+// A waiting queue is guaranteed an equal share divided by
+// kGuaranteedDivisor, and at least one advisor. Full equal shares starved the
+// queue of gangs, whose queries are the most expensive: each occupies an
+// advisor for half a second, yet the queue got as many advisors as one whose
+// queries take 20 ms.
+constexpr std::size_t kGuaranteedDivisor = 4;
+// Queries are sent ahead of need while at least one in kSurplusDivisor advisors
+// is free.
+constexpr std::size_t kSurplusDivisor = 2;
 
 bool
 IsFirst(const open_step& aStep)
@@ -32,49 +35,53 @@
 std::size_t
 recent_peak::Record(std::size_t aCount, time_point aNow)
 {
-  if (aNow >= mSince + kSpan) {
-    mLast = aNow >= mSince + 2 * kSpan ? 0 : mPeak;
+  if (aNow >= mSpanStart + kSpan) {
+    mLastPeak = aNow >= mSpanStart + 2 * kSpan ? 0 : mPeak;
     mPeak = 0;
-    mSince = aNow;
+    mSpanStart = aNow;
   }
   mPeak = std::max(mPeak, aCount);
-  return std::max(mPeak, mLast);
+  return std::max(mPeak, mLastPeak);
 }
 
 advisor_pool::advisor_pool(const advisor_load& aLoad,
                            std::span<const open_step> aSteps,
                            const advice_cache& aAdvice,
-                           const std::set<step_ref>& aAsking)
+                           const std::set<step_ref>& aOpenQueries)
   : mFree(aLoad.mFree)
   , mTotal(aLoad.mTotal)
-  , mKept(std::min(aLoad.mTotal / kMostKept,
-                   aLoad.mTopPriorityPeak + kKeptBeyondPeak))
+  , mReserved(std::min(aLoad.mTotal / kMaxReservedDivisor,
+                       aLoad.mTopPriorityPeak + kReservedBeyondPeak))
 {
   for (const open_step& step : aSteps) {
     if (IsFirst(step) || !step.mQueue->mAdvice) {
       continue;
     }
-    const auto [queue, fresh] = mParts.try_emplace(step.mQueue->mName);
+    const auto [queue, isNew] = mUsage.try_emplace(step.mQueue->mName);
     if (const auto used = aLoad.mUsed.find(step.mQueue->mName);
-        fresh && used != aLoad.mUsed.end()) {
+        isNew && used != aLoad.mUsed.end()) {
       queue->second.mUsed = used->second;
     }
-    queue->second.mWants +=
-      aAsking.contains(step.mRef) || aAdvice.HasVerdict(step.mRef) ? 0 : 1;
+    queue->second.mWanted +=
+      aOpenQueries.contains(step.mRef) || aAdvice.HasVerdict(step.mRef) ? 0 : 1;
   }
   const auto active = static_cast<std::size_t>(
-    std::ranges::count_if(mParts, [](const auto& aPart) {
-      return aPart.second.mUsed + aPart.second.mWants > 0;
+    std::ranges::count_if(mUsage, [](const auto& aQueue) {
+      return aQueue.second.mUsed + aQueue.second.mWanted > 0;
     }));
-  mFair = std::max<std::size_t>(
-    (mTotal - mKept) / (kFloor * std::max<std::size_t>(active, 1)), 1);
+  mGuaranteed = std::max<std::size_t>(
+    (mTotal - mReserved) /
+      (kGuaranteedDivisor * std::max<std::size_t>(active, 1)),
+    1);
 }
 
-// What is left of its share, as far as it would use that.
+// The unused part of the queue's guaranteed advisors, limited to what the queue
+// wants.
 std::size_t
-advisor_pool::ReservedFor(const part& aOther) const
+advisor_pool::ReservedFor(const queue_usage& aOther) const
 {
-  return std::min(aOther.mWants, mFair - std::min(mFair, aOther.mUsed));
+  return std::min(aOther.mWanted,
+                  mGuaranteed - std::min(mGuaranteed, aOther.mUsed));
 }
 
 bool
@@ -84,13 +91,13 @@
     return mFree > 0;
   }
   const std::size_t reserved =
-    std::accumulate(mParts.begin(),
-                    mParts.end(),
-                    mKept,
-                    [&](std::size_t aSum, const auto& aPart) {
-                      return aSum + (aPart.first == aStep.mQueue->mName
+    std::accumulate(mUsage.begin(),
+                    mUsage.end(),
+                    mReserved,
+                    [&](std::size_t aSum, const auto& aQueue) {
+                      return aSum + (aQueue.first == aStep.mQueue->mName
                                        ? 0
-                                       : ReservedFor(aPart.second));
+                                       : ReservedFor(aQueue.second));
                     });
   return mFree > reserved;
 }
@@ -99,17 +106,17 @@
 advisor_pool::OnQuery(const open_step& aStep)
 {
   --mFree;
-  if (const auto queue = mParts.find(aStep.mQueue->mName);
-      queue != mParts.end()) {
+  if (const auto queue = mUsage.find(aStep.mQueue->mName);
+      queue != mUsage.end()) {
     ++queue->second.mUsed;
-    queue->second.mWants -= std::min<std::size_t>(queue->second.mWants, 1);
+    queue->second.mWanted -= std::min<std::size_t>(queue->second.mWanted, 1);
   }
 }
 
 bool
 advisor_pool::HasSurplus() const
 {
-  return mFree * kPlentiful >= mTotal;
+  return mFree * kSurplusDivisor >= mTotal;
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/advisors.h
+++ b/oriolewalk/flow/advisors.h
@@ -1,18 +1,19 @@
 #pragma once
 
-// Which steps may put a question to the policy service now: the advisors (the
-// instances that carry one question at a time each) shared between queues.
+// Decides which steps may query the policy service now. The advisors, which
+// are the instances that relay one advice query at a time each, are shared
+// between the queues.
 //
-//   advisor_pool pool(load, steps, advice, now);
-//   if (pool.MayAsk(step)) { ...; pool.Asked(step); }
+//   advisor_pool pool(load, steps, advice, openQueries);
+//   if (pool.CanQuery(step)) { ...; pool.OnQuery(step); }
 //
-// The load it answers: questions of 0.03 to 1.5 s from several queues, and
-// fewer advisors than questions. Without a share of its own, a later queue is
-// never asked about: 1,500 of its tasks waited for an advisor while 14,000
-// processors were free. Without a reserve for the first queue, its 0.05 s
-// question waits for others of 0.7 s.
+// Queries take 0.03 to 1.5 s, several queues issue them, and there are fewer
+// advisors than pending queries. Without a share of its own, a lower-priority
+// queue never gets an advisor: 1,500 of its tasks waited for one while 14,000
+// processors were free. Without advisors reserved for the top-priority queue,
+// its 0.05 s query waits for other queues' queries of 0.7 s.
 //
-// Pure; one plan's. Cost of the constructor: the steps.
+// Pure; one object per plan. The constructor is linear in the steps.
 
 #include <cstddef>
 #include <functional>
@@ -28,57 +29,58 @@
 struct advisor_load
 {
   std::size_t mFree = 0;
-  std::size_t mTotal = 0; // with those that carry a question
-  // Of those, by the queue that it is for.
+  std::size_t mTotal = 0; // including those that relay a query
+  // Advisors that relay a query, by the queue that it is for.
   std::map<std::string, std::size_t, std::less<>> mUsed;
-  // The most that the first queues had at a time of late.
+  // The recent maximum of advisors in use by the top-priority queues.
   std::size_t mTopPriorityPeak = 0;
 };
 
-// The highest of the last counts, forgotten after kSpan to 2 kSpan.
+// The maximum of the recent counts. A count expires after kSpan to 2 * kSpan.
 class recent_peak
 {
 public:
   std::size_t Record(std::size_t aCount, time_point aNow);
 
 private:
-  // Two waves of arrivals.
+  // Covers two waves of arrivals.
   static constexpr seconds kSpan{ 10 };
 
-  time_point mSince{};
-  std::size_t mPeak = 0; // of the present span
-  std::size_t mLast = 0; // of the one before
+  time_point mSpanStart{};
+  std::size_t mPeak = 0;     // in the current span
+  std::size_t mLastPeak = 0; // in the previous span
 };
 
 class advisor_pool
 {
 public:
-  // aAsking: steps about which a question is under way.
+  // aOpenQueries: steps that have a query in flight.
   advisor_pool(const advisor_load& aLoad,
                std::span<const open_step> aSteps,
                const advice_cache& aAdvice,
-               const std::set<step_ref>& aAsking);
+               const std::set<step_ref>& aOpenQueries);
 
   [[nodiscard]] bool CanQuery(const open_step& aStep) const;
   void OnQuery(const open_step& aStep);
-  // More advisors than work for them: questions may be put ahead of time.
+  // There are more advisors than queries, so queries may be sent ahead of
+  // need.
   [[nodiscard]] bool HasSurplus() const;
 
 private:
-  // A queue's part in what is not kept for the first queues.
-  struct part
+  // A queue's usage of the advisors outside the top-priority reserve.
+  struct queue_usage
   {
     std::size_t mUsed = 0;
-    std::size_t mWants = 0; // steps that were never asked about
+    std::size_t mWanted = 0; // steps without any verdict or query
   };
 
-  [[nodiscard]] std::size_t ReservedFor(const part& aOther) const;
+  [[nodiscard]] std::size_t ReservedFor(const queue_usage& aOther) const;
 
   std::size_t mFree;
   std::size_t mTotal;
-  std::size_t mKept;     // for the first queues, and for tasks that last
-  std::size_t mFair = 0; // what each queue is sure of in the rest
-  std::map<std::string, part, std::less<>> mParts;
+  std::size_t mReserved;       // for top-priority queues and long-running tasks
+  std::size_t mGuaranteed = 0; // for each queue, outside that reserve
+  std::map<std::string, queue_usage, std::less<>> mUsage;
 };
 
 } // namespace oriolewalk::flow
