--- a/oriolewalk/flow/placement.cc
+++ b/oriolewalk/flow/placement.cc
@@ -6,18 +6,19 @@
 
 namespace {
 
-// A worker that is a quarter faster is worth a quarter of its room: a step is
-// as slow as its slowest task.
+// A worker that is a quarter faster scores as much as one with a quarter more
+// of its capacity free, because a step is as slow as its slowest task.
 constexpr double kSpeedWeight = 1;
-constexpr double kNear = 10;
-constexpr double kAvoided = 100;
-// Filling work and serving work keep away from each other.
-constexpr double kDisturbs = 5;
-// Above any speed: a worker that stays whole is worth more than a faster start.
+constexpr double kNearDataBonus = 10;
+constexpr double kAvoidedPenalty = 100;
+// Separates best-effort tasks from latency-sensitive tasks.
+constexpr double kInterferencePenalty = 5;
+// Exceeds any speed difference: keeping a worker's accelerators together is
+// worth more than a faster start.
 constexpr double kPackWeight = 2;
-// A suspect keeps away from other suspects, and from what loses most by a
-// crash.
-constexpr double kEndangers = 50;
+// Separates suspects from each other, and from the tasks that lose the most in
+// a crash.
+constexpr double kCrashRiskPenalty = 50;
 
 double
 ShareOf(std::int64_t aPart, std::int64_t aWhole)
@@ -26,8 +27,8 @@
          std::max<double>(1, static_cast<double>(aWhole));
 }
 
-// Its next failure may be the last one: it waits rather than go where others
-// fail.
+// A task that has failed avoids workers on which others fail, since its next
+// failure may exhaust its attempts.
 bool
 HasFailed(const open_step& aStep, std::uint32_t aTask)
 {
@@ -43,14 +44,15 @@
                const plan_policy& aPolicy)
 {
   const std::string& rack = aStep.mSpec->mDataRack;
-  const bool near = rack.empty() || aWorker.mDescription->mRack.Value() == rack;
+  const bool isNear =
+    rack.empty() || aWorker.mDescription->mRack.Value() == rack;
   const cell::resources& capacity = aWorker.mDescription->mCapacity;
   const cell::resources left = aWorker.mFree - aWorker.mReserved;
   const double processors =
     ShareOf(left.mMilliProcessors, capacity.mMilliProcessors);
   const double accelerators =
     ShareOf(left.mAccelerators, capacity.mAccelerators);
-  const bool disturbed =
+  const bool interferes =
     (aStep.mSpec->mBestEffort && aWorker.mRunsLatencySensitive) ||
     (aStep.mSpec->mTailLatencyTargetMs > 0 && aWorker.mRunsBestEffort);
   if (aPolicy.mPlacement == placement_rule::FirstFit) {
@@ -58,9 +60,11 @@
   }
   const bool packs =
     aPolicy.mPlacement == placement_rule::Packing && capacity.mAccelerators > 0;
-  return (near ? kNear : 0) - (disturbed ? kDisturbs : 0) +
+  return (isNear ? kNearDataBonus : 0) -
+         (interferes ? kInterferencePenalty : 0) +
          (packs ? -kPackWeight * accelerators : processors) +
-         kSpeedWeight * aWorker.mSpeed - (aWorker.mAvoided ? kAvoided : 0);
+         kSpeedWeight * aWorker.mSpeed -
+         (aWorker.mAvoided ? kAvoidedPenalty : 0);
 }
 
 step_placement::step_placement(
@@ -98,11 +102,11 @@
     if (!aFits(mStep, *worker) || !CanRun(aTask, aRack, *worker)) {
       continue;
     }
-    const bool endangers =
+    const bool risksOthers =
       (worker->mRunsGangOrLongRunning || worker->mSuspects.mCount > 0) &&
       SuspicionOf(mStep, aTask) != suspicion::None;
-    const double score =
-      PlacementScore(mStep, *worker, mPolicy) - (endangers ? kEndangers : 0);
+    const double score = PlacementScore(mStep, *worker, mPolicy) -
+                         (risksOthers ? kCrashRiskPenalty : 0);
     if (best == nullptr || score > bestScore) {
       best = worker;
       bestScore = score;
@@ -116,21 +120,21 @@
                        const rack_id& aRack,
                        const plan_worker& aWorker) const
 {
-  const bool elsewhere =
+  const bool isOtherRack =
     !aRack.Value().empty() && aWorker.mDescription->mRack != aRack;
-  if (elsewhere || (aWorker.mAvoided && HasFailed(mStep, aTask))) {
+  if (isOtherRack || (aWorker.mAvoided && HasFailed(mStep, aTask))) {
     return false;
   }
-  // A prime suspect's crash is to tell as much as it can, and to cost as
-  // little.
+  // A task of high suspicion runs apart from other suspects. If the worker then
+  // crashes, the cause is evident and few tasks are lost.
   const worker_suspects& suspects = aWorker.mSuspects;
   if (suspects.mHighSuspicion > 0 ||
       (suspects.mCount > 0 && SuspicionOf(mStep, aTask) == suspicion::High)) {
     return false;
   }
-  const std::uint32_t most = mStep.mSpec->mMaxPerWorker;
-  const auto here = mCounts.find(aWorker.mNumber);
-  return most == 0 || here == mCounts.end() || here->second < most;
+  const std::uint32_t max = mStep.mSpec->mMaxPerWorker;
+  const auto count = mCounts.find(aWorker.mNumber);
+  return max == 0 || count == mCounts.end() || count->second < max;
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/reservations.cc
+++ b/oriolewalk/flow/reservations.cc
@@ -8,11 +8,12 @@
 
 namespace {
 
-// Tasks of a service for which workers are left to drain at a time. Each keeps
-// room empty for seconds.
-constexpr std::size_t kMostDraining = 2;
+// How many tasks of a service may wait for a worker to drain at a time. Each
+// leaves capacity idle for seconds.
+constexpr std::size_t kMaxDrainingTasks = 2;
 
-// The largest share of the worker's capacity that is still missing.
+// The missing capacity as a fraction of the worker's capacity, for the resource
+// with the largest such fraction.
 double
 MissingShare(const open_step& aStep, const plan_worker& aWorker)
 {
@@ -21,39 +22,39 @@
     (aWorker.mFree + aWorker.mBeingFreed - aWorker.mReserved);
   const auto amounts = missing.Amounts();
   const auto capacity = aWorker.mDescription->mCapacity.Amounts();
-  double most = 0;
-  for (std::size_t place = 0; place < amounts.size(); ++place) {
-    if (capacity[place] > 0) {
-      most = std::max(most,
-                      static_cast<double>(amounts[place]) /
-                        static_cast<double>(capacity[place]));
+  double max = 0;
+  for (std::size_t index = 0; index < amounts.size(); ++index) {
+    if (capacity[index] > 0) {
+      max = std::max(max,
+                     static_cast<double>(amounts[index]) /
+                       static_cast<double>(capacity[index]));
     }
   }
-  return most;
+  return max;
 }
 
-// Whether the worker's whole capacity is kept for others: the room for one more
-// task would never come.
+// Whether so much of the worker is reserved for other tasks that one of the
+// step's wouldn't fit even if the worker drained.
 bool
-IsPromised(const open_step& aStep, const plan_worker& aWorker)
+IsFullyReserved(const open_step& aStep, const plan_worker& aWorker)
 {
   return !aStep.mSpec->Booked().FitsIn(aWorker.mDescription->mCapacity -
                                        aWorker.mReserved);
 }
 
-// The candidate of least aCost(worker); those for which it gives none are left
-// out.
+// The candidate with the lowest aCost(worker). Candidates without a cost are
+// skipped.
 template<class Cost>
 plan_worker*
 Cheapest(std::span<plan_worker* const> aCandidates, Cost aCost)
 {
   plan_worker* best = nullptr;
-  double least = 0;
+  double lowest = 0;
   for (plan_worker* worker : aCandidates) {
     const std::optional<double> cost = aCost(*worker);
-    if (cost && (best == nullptr || *cost < least)) {
+    if (cost && (best == nullptr || *cost < lowest)) {
       best = worker;
-      least = *cost;
+      lowest = *cost;
     }
   }
   return best;
@@ -62,9 +63,9 @@
 } // namespace
 
 reservation_planner::reservation_planner(const flow_state& aState,
-                                         preemption_records aYields,
+                                         preemption_records aPreemptionRecords,
                                          const plan_policy& aPolicy)
-  : mYields(aState, std::move(aYields))
+  : mPreemptionPlanner(aState, std::move(aPreemptionRecords))
   , mPolicy(aPolicy)
 {
 }
@@ -73,16 +74,16 @@
 reservation_planner::Reserve(const open_step& aStep,
                              std::span<const std::uint32_t> aTasks,
                              std::span<plan_worker* const> aCandidates,
-                             step_placement& aPlaces)
+                             step_placement& aPlacement)
 {
   capacity_reservation found;
   for (const std::uint32_t task : aTasks) {
-    if (!FindOne(aStep, task, aCandidates, aPlaces, found)) {
+    if (!FindOne(aStep, task, aCandidates, aPlacement, found)) {
       if (aStep.mSpec->mGang) {
         Release(aStep, found);
         return {};
       }
-      break; // the tasks of a step are alike
+      break; // all tasks of a step have the same requirements
     }
   }
   return found;
@@ -92,22 +93,22 @@
 reservation_planner::FindOne(const open_step& aStep,
                              std::uint32_t aTask,
                              std::span<plan_worker* const> aCandidates,
-                             step_placement& aPlaces,
+                             step_placement& aPlacement,
                              capacity_reservation& aFound)
 {
-  plan_worker* worker = aPlaces.BestWorker(aTask, {}, aCandidates, FitsSoon);
+  plan_worker* worker = aPlacement.BestWorker(aTask, {}, aCandidates, FitsSoon);
   if (worker == nullptr && mPolicy.mPreempts) {
-    worker = Preempt(aStep, aTask, aCandidates, aPlaces, aFound);
+    worker = Preempt(aStep, aTask, aCandidates, aPlacement, aFound);
   }
   if (worker == nullptr) {
-    worker = Drain(aStep, aTask, aCandidates, aPlaces);
+    worker = Drain(aStep, aTask, aCandidates, aPlacement);
     aFound.mDrainingTasks += worker == nullptr ? 0 : 1;
   }
   if (worker == nullptr) {
     return false;
   }
   worker->mReserved += aStep.mSpec->Booked();
-  aPlaces.AddTask(*worker);
+  aPlacement.AddTask(*worker);
   aFound.mWorkers.push_back(worker);
   return true;
 }
@@ -116,24 +117,24 @@
 reservation_planner::Preempt(const open_step& aStep,
                              std::uint32_t aTask,
                              std::span<plan_worker* const> aCandidates,
-                             const step_placement& aPlaces,
+                             const step_placement& aPlacement,
                              capacity_reservation& aFound)
 {
   plan_worker* worker =
     Cheapest(aCandidates, [&](plan_worker& aWorker) -> std::optional<double> {
       if (!FitsWhenEmpty(aStep, aWorker) || aWorker.mAvoided ||
-          !aPlaces.CanRun(aTask, {}, aWorker)) {
+          !aPlacement.CanRun(aTask, {}, aWorker)) {
         return std::nullopt;
       }
-      const auto runs = mYields.RunsToPreempt(aStep, aWorker);
+      const auto runs = mPreemptionPlanner.RunsToPreempt(aStep, aWorker);
       return runs ? std::optional<double>(static_cast<double>(runs->size()))
                   : std::nullopt;
     });
   if (worker == nullptr) {
     return nullptr;
   }
-  const auto runs = mYields.RunsToPreempt(aStep, *worker);
-  mYields.Preempt(*runs, *worker);
+  const auto runs = mPreemptionPlanner.RunsToPreempt(aStep, *worker);
+  mPreemptionPlanner.Preempt(*runs, *worker);
   for (const run_ref& run : *runs) {
     aFound.mPreemptions.push_back({ run, worker });
   }
@@ -144,16 +145,16 @@
 reservation_planner::Drain(const open_step& aStep,
                            std::uint32_t aTask,
                            std::span<plan_worker* const> aCandidates,
-                           const step_placement& aPlaces)
+                           const step_placement& aPlacement)
 {
-  std::size_t& draining = mDraining[aStep.mQueue->mService];
-  if (!mPolicy.mReservesCapacity || draining >= kMostDraining) {
+  std::size_t& draining = mDrainingTasks[aStep.mQueue->mService];
+  if (!mPolicy.mReservesCapacity || draining >= kMaxDrainingTasks) {
     return nullptr;
   }
   plan_worker* worker =
     Cheapest(aCandidates, [&](plan_worker& aWorker) -> std::optional<double> {
-      if (!FitsWhenEmpty(aStep, aWorker) || IsPromised(aStep, aWorker) ||
-          aWorker.mAvoided || !aPlaces.CanRun(aTask, {}, aWorker)) {
+      if (!FitsWhenEmpty(aStep, aWorker) || IsFullyReserved(aStep, aWorker) ||
+          aWorker.mAvoided || !aPlacement.CanRun(aTask, {}, aWorker)) {
         return std::nullopt;
       }
       return MissingShare(aStep, aWorker);
@@ -164,15 +165,15 @@
 
 void
 reservation_planner::Release(const open_step& aStep,
-                             const capacity_reservation& aHold)
+                             const capacity_reservation& aReservation)
 {
-  for (plan_worker* worker : aHold.mWorkers) {
+  for (plan_worker* worker : aReservation.mWorkers) {
     worker->mReserved -= aStep.mSpec->Booked();
   }
-  for (const auto& [run, worker] : aHold.mPreemptions) {
-    mYields.CancelPreemption(run, *worker);
+  for (const auto& [run, worker] : aReservation.mPreemptions) {
+    mPreemptionPlanner.CancelPreemption(run, *worker);
   }
-  mDraining[aStep.mQueue->mService] -= aHold.mDrainingTasks;
+  mDrainingTasks[aStep.mQueue->mService] -= aReservation.mDrainingTasks;
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/reservations.h
+++ b/oriolewalk/flow/reservations.h
@@ -1,19 +1,21 @@
 #pragma once
 
-// The stage of a plan that keeps room for what can't start now: at a worker
-// that has room but whose ticket is being renewed, at one where later queues'
-// runs give way, or at one that is left to drain.
+// The stage of a plan that reserves capacity for tasks that can't start now: on
+// a worker that has free capacity but whose ticket is being renewed, on one
+// where runs of lower-priority queues are preempted, or on one whose runs are
+// left to end.
 //
-//   hold_finder finder(state, yields, policy);
-//   hold found = finder.Find(step, tasks, candidates, places);
-//   finder.Keep(found);   // or leave it
+//   reservation_planner planner(state, preemptions, policy);
+//   capacity_reservation reservation =
+//     planner.Reserve(step, tasks, candidates, placement);
+//   planner.Release(step, reservation); // unless the plan uses it
 //
-// The load it answers: small tasks of a later queue take each piece of room as
-// it falls free, so that a large task in front of them never finds its room
-// whole: it waited 48 s while they ran.
+// Without reservations, small tasks of a lower-priority queue take each piece
+// of capacity as soon as it is free, and a large task ahead of them never finds
+// enough at once: it waited 48 s while they ran.
 //
-// The room is kept for one plan only; the next one decides anew, so nothing
-// that doesn't start holds it for ever. Pure; owned by one plan.
+// A reservation lasts for one plan and the next plan decides again, so a task
+// that doesn't start can't hold capacity indefinitely. Pure; owned by one plan.
 
 #include <cstdint>
 #include <map>
@@ -37,45 +39,47 @@
 
   std::vector<plan_worker*> mWorkers; // one for each task
   std::vector<preempted_run> mPreemptions;
-  std::size_t mDrainingTasks =
-    0; // tasks that wait for runs to end by themselves
+  // Tasks that wait for runs to end on their own.
+  std::size_t mDrainingTasks = 0;
 };
 
 class reservation_planner
 {
 public:
   reservation_planner(const flow_state& aState,
-                      preemption_records aYields,
+                      preemption_records aPreemptionRecords,
                       const plan_policy& aPolicy);
 
-  // Room for as many of aTasks as possible, or for all of a gang's; books it
-  // with the candidates until Drop.
+  // Reserves capacity on the candidates for as many of aTasks as possible; for
+  // a gang, for all or none of them. They stay booked until Release.
   capacity_reservation Reserve(const open_step& aStep,
                                std::span<const std::uint32_t> aTasks,
                                std::span<plan_worker* const> aCandidates,
-                               step_placement& aPlaces);
-  // Takes back what Find booked.
-  void Release(const open_step& aStep, const capacity_reservation& aHold);
+                               step_placement& aPlacement);
+  // Undoes a reservation.
+  void Release(const open_step& aStep,
+               const capacity_reservation& aReservation);
 
 private:
   bool FindOne(const open_step& aStep,
                std::uint32_t aTask,
                std::span<plan_worker* const> aCandidates,
-               step_placement& aPlaces,
+               step_placement& aPlacement,
                capacity_reservation& aFound);
   plan_worker* Preempt(const open_step& aStep,
                        std::uint32_t aTask,
                        std::span<plan_worker* const> aCandidates,
-                       const step_placement& aPlaces,
+                       const step_placement& aPlacement,
                        capacity_reservation& aFound);
   [[nodiscard]] plan_worker* Drain(const open_step& aStep,
                                    std::uint32_t aTask,
                                    std::span<plan_worker* const> aCandidates,
-                                   const step_placement& aPlaces);
+                                   const step_placement& aPlacement);
 
-  preemption_planner mYields;
+  preemption_planner mPreemptionPlanner;
   const plan_policy& mPolicy;
-  std::map<service_id, std::size_t> mDraining; // tasks, by service
+  std::map<service_id, std::size_t>
+    mDrainingTasks; // draining tasks, by service
 };
 
 } // namespace oriolewalk::flow
