--- a/oriolewalk/flow/open_steps.cc
+++ b/oriolewalk/flow/open_steps.cc
@@ -9,26 +9,28 @@
 
 namespace {
 
-// One plan looks at so many waiting tasks, the first in the order: at 600
-// starts a second and a plan every few milliseconds the rest waits for the next
-// one. Cut off before they were ordered, urgent jobs behind a backlog of 4,000
-// tasks were never looked at, whatever room there was.
-constexpr std::size_t kMostConsidered = 4'000;
-
-// The longest chain of estimates from aStep on.
+// A plan considers at most this many waiting tasks, in the order of their
+// steps. At 600 starts per second and a plan every few milliseconds the others
+// can wait for the next plan. The limit applies after the steps are ordered:
+// applied before, it hid urgent jobs behind a backlog of 4,000 tasks, however
+// much capacity was free.
+constexpr std::size_t kMaxConsidered = 4'000;
+
+// The sum of the estimates along the longest dependency chain that starts with
+// aStep, in milliseconds.
 std::int64_t
-ChainAfter(const job_spec& aJob, std::uint32_t aStep)
+LongestChainMs(const job_spec& aJob, std::uint32_t aStep)
 {
   std::vector<std::int64_t> chain(aJob.mSteps.size(), 0);
   std::int64_t longest = 0;
   for (std::size_t step = aStep; step < aJob.mSteps.size(); ++step) {
     const step_spec& spec = aJob.mSteps[step];
-    const bool reached =
+    const bool isReached =
       step == aStep ||
       std::ranges::any_of(spec.mDependsOn, [&](std::uint32_t aOther) {
         return aOther >= aStep && chain[aOther] > 0;
       });
-    if (!reached) {
+    if (!isReached) {
       continue;
     }
     std::int64_t before = 0;
@@ -57,7 +59,7 @@
   {
   }
 
-  // All open steps of which a task waits; the tasks aren't listed yet.
+  // All open steps with a waiting task. The tasks aren't listed yet.
   [[nodiscard]] std::vector<open_step> Find() const
   {
     std::vector<open_step> steps;
@@ -75,19 +77,19 @@
     return steps;
   }
 
-  // Lists the waiting tasks of the first steps, as far as one plan goes, and
-  // leaves out the others.
+  // Lists the waiting tasks of the first steps until kMaxConsidered is reached,
+  // and removes the other steps.
   void ListTasks(std::vector<open_step>& aSteps) const
   {
     std::size_t considered = 0;
-    std::map<job_id, std::uint32_t> listed; // suspects
+    std::map<job_id, std::uint32_t> listedSuspects;
     for (open_step& step : aSteps) {
-      if (considered >= kMostConsidered) {
+      if (considered >= kMaxConsidered) {
         break;
       }
       step.mWaiting = WaitingOf(step.mRef, *step.mRecord);
       if (!mState.Crashes().Records().empty()) {
-        PutSuspectsLast(step, listed[step.mRef.mJob]);
+        MoveSuspectsLast(step, listedSuspects[step.mRef.mJob]);
       }
       considered += step.mWaiting.size();
     }
@@ -105,7 +107,7 @@
     const queue_row& queue = mState.QueueOf(aJob);
     for (std::uint32_t step = 0; step < aOccurrence.mSteps.size(); ++step) {
       const step_record& record = aOccurrence.mSteps[step];
-      const bool waits =
+      const bool hasWaitingTask =
         (mScope == plan_scope::All ||
          IsTopPriority(queue, aJob.mSpec.mSteps[step])) &&
         !record.IsDone() &&
@@ -113,7 +115,7 @@
         std::ranges::any_of(record.mTasks, [](const task_record& aTask) {
           return aTask.mPhase == task_phase::Waiting;
         });
-      if (!waits) {
+      if (!hasWaitingTask) {
         continue;
       }
       aSteps.push_back({ { aId, aNumber, step },
@@ -142,15 +144,16 @@
     return waiting;
   }
 
-  // And leaves out those beyond what a job may start at a time, but for a
-  // gang, which starts whole. aListed: of the job, in this plan.
-  void PutSuspectsLast(open_step& aStep, std::uint32_t& aListed) const
+  // Moves suspects behind the other tasks and removes those beyond the number
+  // that the job may start at a time. A gang keeps all, because it starts
+  // whole. aListed: suspects of the job that this plan has listed.
+  void MoveSuspectsLast(open_step& aStep, std::uint32_t& aListed) const
   {
     const step_ref& ref = aStep.mRef;
-    const crash_tracker& book = mState.Crashes();
+    const crash_tracker& crashes = mState.Crashes();
     for (const std::uint32_t index : aStep.mWaiting) {
       const suspicion known =
-        book.SuspicionOf({ ref.mJob, ref.mOccurrence, ref.mStep, index });
+        crashes.SuspicionOf({ ref.mJob, ref.mOccurrence, ref.mStep, index });
       if (known != suspicion::None) {
         aStep.mSuspects[index] = known;
       }
@@ -158,7 +161,8 @@
     if (aStep.mSuspects.empty()) {
       return;
     }
-    // The prime suspects come first of those: they tell the most.
+    // Tasks of high suspicion precede other suspects, because their outcome is
+    // the most informative.
     constexpr std::array kOrder = { suspicion::None,
                                     suspicion::High,
                                     suspicion::Low };
@@ -168,12 +172,12 @@
     if (aStep.mSpec->mGang) {
       return;
     }
-    const std::uint32_t most = mSuspicions.MaxStarts(book, ref.mJob);
+    const std::uint32_t max = mSuspicions.MaxStarts(crashes, ref.mJob);
     const auto suspects = static_cast<std::uint32_t>(aStep.mSuspects.size());
-    const std::uint32_t may =
-      std::min(suspects, most - std::min(most, aListed));
-    aStep.mWaiting.resize(aStep.mWaiting.size() - (suspects - may));
-    aListed += may;
+    const std::uint32_t allowed =
+      std::min(suspects, max - std::min(max, aListed));
+    aStep.mWaiting.resize(aStep.mWaiting.size() - (suspects - allowed));
+    aListed += allowed;
   }
 
   const flow_state& mState;
@@ -188,8 +192,8 @@
 std::int64_t
 ObjectiveMs(const job_spec& aJob, const queue_row& aQueue)
 {
-  return static_cast<std::int64_t>(aQueue.mStretch *
-                                   static_cast<double>(ChainAfter(aJob, 0))) +
+  return static_cast<std::int64_t>(
+           aQueue.mStretch * static_cast<double>(LongestChainMs(aJob, 0))) +
          aQueue.mTargetMs;
 }
 
@@ -201,7 +205,7 @@
         std::int64_t aWallMs)
 {
   return aOccurrence.mOpenedWallMs + ObjectiveMs(aJob.mSpec, aQueue) - aWallMs -
-         ChainAfter(aJob.mSpec, aStep);
+         LongestChainMs(aJob.mSpec, aStep);
 }
 
 std::vector<open_step>
--- a/oriolewalk/flow/plan_policy.h
+++ b/oriolewalk/flow/plan_policy.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The planner's rules, so that each can be switched off or set against a plain
-// one, to measure what it is worth.
+// Switches for the planner's rules. Benchmarks disable a rule or replace it by
+// a simpler one to measure its benefit.
 //
 //   plan_policy policy;
 //   policy.mOrder = plan_order::Arrival;
@@ -10,7 +10,7 @@
 
 namespace oriolewalk::flow {
 
-// Which waiting step is served first.
+// The order in which waiting steps are served.
 enum class plan_order : std::uint8_t
 {
   LeastSlack, // priority, then least time until it must start
@@ -18,18 +18,18 @@
   Arrival,    // first come, first served
 };
 
-// Which waiting steps a plan looks at.
+// Which waiting steps a plan considers.
 enum class plan_scope : std::uint8_t
 {
   All,
-  TopPriority, // those that come before all others, whatever waits behind them
+  TopPriority, // only top-priority steps, whatever the backlog behind them
 };
 
-// Which of the workers with room a task goes to.
+// How a worker is selected from those on which a task fits.
 enum class placement_rule : std::uint8_t
 {
-  Packing,   // accelerators are filled worker by worker
-  Spreading, // where most processors are free
+  Packing,   // fills the accelerators of one worker before the next
+  Spreading, // prefers the largest share of free processors
   FirstFit,
 };
 
@@ -37,11 +37,11 @@
 {
   plan_order mOrder = plan_order::LeastSlack;
   placement_rule mPlacement = placement_rule::Packing;
-  bool mQueriesAhead =
-    true; // the policy service, about workers that are full too
-  bool mReservesCapacity = true; // room is kept for what comes next
-  bool mPreempts = true;         // work of later queues gives way
-  bool mSharesAdvisors = true;   // each queue has a share of the advisors
+  bool mQueriesAhead = true; // advice queries include workers that are full
+  bool mReservesCapacity =
+    true;                // reserves capacity for steps that can't start yet
+  bool mPreempts = true; // preempts runs of lower-priority queues
+  bool mSharesAdvisors = true; // guarantees each queue a share of the advisors
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/plan_types.h
+++ b/oriolewalk/flow/plan_types.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The values that the stages of a plan share: workers as the plan sees them,
-// and steps that have tasks to place.
+// The values that the stages of a plan share: the workers, and the steps that
+// have tasks to place.
 //
 //   plan_worker worker = ...;
-//   if (CanHold(step, worker) && FitsNow(step, worker)) { ... }
+//   if (FitsWhenEmpty(step, worker) && FitsNow(step, worker)) { ... }
 //
 // Plain data; any thread.
 
@@ -21,25 +21,23 @@
 
 namespace oriolewalk::flow {
 
-// A worker as the plan sees it.
+// A worker's state within a plan.
 struct plan_worker
 {
   worker_number mNumber = 0;
   const worker_description* mDescription = nullptr;
   cell::resources mFree;
-  cell::resources mBeingFreed; // of runs that are being stopped: free soon
-  cell::resources mReserved;   // kept for steps that come first
-  double mSpeed = 1;           // learnt; above 1 is faster than its peers
-  bool mRunsLatencySensitive =
-    false;                      // a task with a target for its tail runs there
-  bool mRunsBestEffort = false; // filling work runs there
-  bool mAvoided = false;        // fails or stalls of late: the last choice
-  bool mRunsGangOrLongRunning =
-    false; // a gang's member or a task that lasts runs there
+  cell::resources mBeingFreed; // booked by runs that are being stopped
+  cell::resources mReserved;   // reserved for steps that are served earlier
+  double mSpeed = 1; // relative to its peers, learnt; above 1 is faster
+  bool mRunsLatencySensitive = false; // runs a task with a tail latency target
+  bool mRunsBestEffort = false;
+  bool mAvoided = false; // failed or stalled recently; used as a last resort
+  bool mRunsGangOrLongRunning = false;
   worker_suspects mSuspects;
 };
 
-// An open step with tasks that wait.
+// An open step with waiting tasks.
 struct open_step
 {
   step_ref mRef;
@@ -47,10 +45,11 @@
   const queue_row* mQueue = nullptr;
   const step_spec* mSpec = nullptr;
   const step_record* mRecord = nullptr;
-  // Indexes of tasks; those that are suspects of crashing workers come last.
+  // Indexes of the waiting tasks. Tasks suspected of crashing their workers
+  // come last.
   std::vector<std::uint32_t> mWaiting;
   std::map<std::uint32_t, suspicion> mSuspects;
-  std::int64_t mSlackMs = 0; // until it must start to be in time
+  std::int64_t mSlackMs = 0; // time left until it must start to be in time
 };
 
 inline suspicion
@@ -60,15 +59,15 @@
   return found == aStep.mSuspects.end() ? suspicion::None : found->second;
 }
 
-// Steps whose users notice each second: those of the queues that come first,
-// and tasks that last, which are few.
+// Whether users notice each second of the step's delay. That holds for the
+// queues of priority 0, and for long-running tasks, which are few.
 inline bool
 IsTopPriority(const queue_row& aQueue, const step_spec& aSpec)
 {
   return aQueue.mPriority == 0 || aSpec.mLongRunning;
 }
 
-// Whether the worker could take a task of the step if it were empty.
+// Whether a task of the step would fit if the worker were empty.
 inline bool
 FitsWhenEmpty(const open_step& aStep, const plan_worker& aWorker)
 {
@@ -85,7 +84,7 @@
   return aStep.mSpec->Booked().FitsIn(aWorker.mFree - aWorker.mReserved);
 }
 
-// As FitsNow, once what is being stopped there has ended.
+// Like FitsNow, but counts the capacity of runs that are being stopped as free.
 inline bool
 FitsSoon(const open_step& aStep, const plan_worker& aWorker)
 {
--- a/oriolewalk/flow/planner.cc
+++ b/oriolewalk/flow/planner.cc
@@ -20,7 +20,7 @@
 public:
   explicit plan_maker(plan_input aInput)
     : mInput(std::move(aInput))
-    , mHolds(*mInput.mState, mInput.mPreemptionRecords, mInput.mPolicy)
+    , mReservations(*mInput.mState, mInput.mPreemptionRecords, mInput.mPolicy)
   {
     for (plan_worker& worker : mInput.mWorkers) {
       mByNumber[worker.mNumber] = &worker;
@@ -56,10 +56,11 @@
   }
 
 private:
-  // Where the policy service lets the step run: with a valid ticket, or also
-  // with one that has run out. All of the service's without such a policy. Most
-  // open steps wait for the policy service's answer: to look at every worker
-  // for each of them took most of the leader's processor time at 350 workers.
+  // The workers on which the policy service allows the step, with a valid
+  // ticket or, if aExpiredToo, also with an expired one. All workers of the
+  // service if the queue has no policy service. Doesn't visit workers without a
+  // verdict: most open steps wait for an answer, and visiting every worker for
+  // each of them took most of the leader's processor time at 350 workers.
   [[nodiscard]] worker_list ApprovedFor(const open_step& aStep,
                                         bool aExpiredToo)
   {
@@ -84,8 +85,8 @@
 
   void Serve(const open_step& aStep)
   {
-    step_placement places(aStep, *mInput.mProposed, mInput.mPolicy);
-    const std::size_t placed = PlaceNow(aStep, places);
+    step_placement placement(aStep, *mInput.mProposed, mInput.mPolicy);
+    const std::size_t placed = PlaceNow(aStep, placement);
     const std::size_t left = aStep.mWaiting.size() - placed;
     mResult.mWaiting += left;
     mResult.mUrgentWaiting += aStep.mQueue->mPriority == 0 ? left : 0;
@@ -95,42 +96,42 @@
     const wait_cause cause =
       IsGangUnderWay(aStep)
         ? wait_cause::Gang
-        : KeepRoomAndAsk(
-            aStep, std::span(aStep.mWaiting).subspan(placed), places);
+        : ReserveAndQuery(
+            aStep, std::span(aStep.mWaiting).subspan(placed), placement);
     mResult.mWaits.push_back({ aStep.mRef, aStep.mQueue->mName, cause, left });
   }
 
-  // Members of the last attempt aren't all over.
+  // Some members of the gang's last attempt haven't ended.
   [[nodiscard]] static bool IsGangUnderWay(const open_step& aStep)
   {
     return aStep.mSpec->mGang &&
            aStep.mWaiting.size() != aStep.mRecord->mTasks.size();
   }
 
-  // The first tasks of aStep.mWaiting that start now; a gang whole or not at
-  // all; a step bound to one rack there.
-  std::size_t PlaceNow(const open_step& aStep, step_placement& aPlaces)
+  // Starts the first tasks of aStep.mWaiting and returns how many. A gang
+  // starts whole or not at all; a step that is bound to one rack starts in one.
+  std::size_t PlaceNow(const open_step& aStep, step_placement& aPlacement)
   {
     const worker_list candidates = ApprovedFor(aStep, false);
     if (candidates.empty() || IsGangUnderWay(aStep)) {
       return 0;
     }
     if (!aStep.mSpec->mGang && !aStep.mSpec->mSameRack) {
-      return PlaceSome(aStep, {}, candidates, aPlaces);
+      return PlaceSome(aStep, {}, candidates, aPlacement);
     }
     const std::size_t all = aStep.mWaiting.size();
     for (const rack_id& rack : RacksFor(aStep)) {
       const std::size_t before = mResult.mStarts.size();
-      if (PlaceSome(aStep, rack, candidates, aPlaces) == all) {
+      if (PlaceSome(aStep, rack, candidates, aPlacement) == all) {
         return all;
       }
-      TakeBack(aStep, before, aPlaces);
+      UndoStarts(aStep, before, aPlacement);
     }
     return 0;
   }
 
-  // Where the whole may go: one rack after the other, or anywhere (an empty
-  // name) where it isn't bound to one.
+  // The racks to try for the whole step, in order. An empty rack name stands
+  // for any rack, which is the only one if the step isn't bound to a rack.
   [[nodiscard]] std::vector<rack_id> RacksFor(const open_step& aStep) const
   {
     if (!aStep.mSpec->mSameRack) {
@@ -145,7 +146,7 @@
       return aRack.Value() == aStep.mSpec->mDataRack;
     });
     if (!aStep.mSpec->mGang) {
-      order.emplace_back(); // slower anywhere than never
+      order.emplace_back(); // any rack, which is slower but avoids starvation
     }
     return order;
   }
@@ -153,30 +154,33 @@
   std::size_t PlaceSome(const open_step& aStep,
                         const rack_id& aRack,
                         const worker_list& aCandidates,
-                        step_placement& aPlaces)
+                        step_placement& aPlacement)
   {
     std::size_t placed = 0;
     for (const std::uint32_t task : aStep.mWaiting) {
-      plan_worker* best = aPlaces.BestWorker(task, aRack, aCandidates, FitsNow);
+      plan_worker* best =
+        aPlacement.BestWorker(task, aRack, aCandidates, FitsNow);
       if (best == nullptr) {
-        break; // the tasks of a step are alike
+        break; // all tasks of a step have the same requirements
       }
-      aPlaces.AddTask(*best);
+      aPlacement.AddTask(*best);
       Start(aStep, task, *best);
       ++placed;
     }
     return placed;
   }
 
-  void TakeBack(const open_step& aStep,
-                std::size_t aFrom,
-                step_placement& aPlaces)
+  void UndoStarts(const open_step& aStep,
+                  std::size_t aFrom,
+                  step_placement& aPlacement)
   {
-    for (std::size_t at = aFrom; at < mResult.mStarts.size(); ++at) {
-      plan_worker& worker = *mByNumber.at(mResult.mStarts[at].mStart.mWorker);
+    for (std::size_t index = aFrom; index < mResult.mStarts.size(); ++index) {
+      plan_worker& worker =
+        *mByNumber.at(mResult.mStarts[index].mStart.mWorker);
       worker.mFree += aStep.mSpec->Booked();
-      aPlaces.RemoveTask(worker);
-      const std::uint32_t task = mResult.mStarts[at].mStart.mRun.mTask.mIndex;
+      aPlacement.RemoveTask(worker);
+      const std::uint32_t task =
+        mResult.mStarts[index].mStart.mRun.mTask.mIndex;
       worker.mSuspects.Remove(SuspicionOf(aStep, task));
     }
     mResult.mStarts.resize(aFrom);
@@ -199,109 +203,115 @@
         mInput.mAdvice->TicketFor(ref, aWorker.mNumber, mInput.mNow) });
   }
 
-  wait_cause KeepRoomAndAsk(const open_step& aStep,
-                            std::span<const std::uint32_t> aTasks,
-                            step_placement& aPlaces)
+  wait_cause ReserveAndQuery(const open_step& aStep,
+                             std::span<const std::uint32_t> aTasks,
+                             step_placement& aPlacement)
   {
-    const worker_list known = ApprovedFor(aStep, true);
-    if (known.empty() && KeepNamedRoom(aStep, aTasks, aPlaces)) {
+    const worker_list approved = ApprovedFor(aStep, true);
+    if (approved.empty() && ReserveQueried(aStep, aTasks, aPlacement)) {
       return wait_cause::Verdict;
     }
-    capacity_reservation kept;
+    capacity_reservation reservation;
     if (mInput.mPolicy.mReservesCapacity || mInput.mPolicy.mPreempts) {
-      kept = mHolds.Reserve(aStep, aTasks, known, aPlaces);
+      reservation = mReservations.Reserve(aStep, aTasks, approved, aPlacement);
     }
-    const bool wantsAdvisor =
-      aStep.mQueue->mAdvice && !Ask(aStep, aTasks.size(), kept);
-    const bool comes = WillHaveTickets(aStep, kept);
-    const wait_cause cause = CauseOf(aStep, known, kept, wantsAdvisor);
-    if (!comes) {
-      mHolds.Release(aStep, kept);
+    const bool needsAdvisor =
+      aStep.mQueue->mAdvice && !Query(aStep, aTasks.size(), reservation);
+    const bool willHaveTickets = WillHaveTickets(aStep, reservation);
+    const wait_cause cause =
+      CauseOf(aStep, approved, reservation, needsAdvisor);
+    if (!willHaveTickets) {
+      mReservations.Release(aStep, reservation);
       return cause;
     }
-    for (const auto& [run, worker] : kept.mPreemptions) {
+    for (const auto& [run, worker] : reservation.mPreemptions) {
       mResult.mPreemptions.push_back({ { run, worker->mNumber }, aStep.mRef });
     }
     return cause;
   }
 
-  // While the policy service thinks about a step that comes first, the room
-  // that it would take at the workers it asks about is kept: what others start
-  // there meanwhile has to give way again, or the step asks a second time.
-  // True: a question is under way.
-  bool KeepNamedRoom(const open_step& aStep,
-                     std::span<const std::uint32_t> aTasks,
-                     step_placement& aPlaces)
+  // While a query for a top-priority step is in flight, reserves the capacity
+  // that the step would use on the queried workers. Otherwise runs that other
+  // steps start there have to be preempted again, or the step has to query a
+  // second time. Returns whether a query is in flight.
+  bool ReserveQueried(const open_step& aStep,
+                      std::span<const std::uint32_t> aTasks,
+                      step_placement& aPlacement)
   {
     if (mInput.mQueriedWorkers == nullptr ||
         !mInput.mPolicy.mReservesCapacity ||
         !IsTopPriority(*aStep.mQueue, *aStep.mSpec)) {
       return false;
     }
-    const auto named = mInput.mQueriedWorkers->find(aStep.mRef);
-    if (named == mInput.mQueriedWorkers->end()) {
+    const auto queried = mInput.mQueriedWorkers->find(aStep.mRef);
+    if (queried == mInput.mQueriedWorkers->end()) {
       return false;
     }
     worker_list workers;
-    for (const worker_number number : named->second) {
+    for (const worker_number number : queried->second) {
       if (const auto found = mByNumber.find(number); found != mByNumber.end()) {
         workers.push_back(found->second);
       }
     }
     for (const std::uint32_t task : aTasks) {
-      plan_worker* worker = aPlaces.BestWorker(task, {}, workers, FitsNow);
+      plan_worker* worker = aPlacement.BestWorker(task, {}, workers, FitsNow);
       if (worker == nullptr) {
         break;
       }
       worker->mReserved += aStep.mSpec->Booked();
-      aPlaces.AddTask(*worker);
+      aPlacement.AddTask(*worker);
     }
     return true;
   }
 
   [[nodiscard]] wait_cause CauseOf(const open_step& aStep,
-                                   const worker_list& aKnown,
-                                   const capacity_reservation& aKept,
-                                   bool aWantsAdvisor) const
+                                   const worker_list& aApproved,
+                                   const capacity_reservation& aReservation,
+                                   bool aNeedsAdvisor) const
   {
-    if (aWantsAdvisor) {
+    if (aNeedsAdvisor) {
       return wait_cause::Advisor;
     }
-    if (aKnown.empty()) {
-      return IsAsking(aStep) ? wait_cause::Verdict : wait_cause::Nowhere;
+    if (aApproved.empty()) {
+      return HasOpenQuery(aStep) ? wait_cause::Verdict : wait_cause::Nowhere;
     }
-    const bool room = aKept.mPreemptions.empty() && aKept.mDrainingTasks == 0 &&
-                      !aKept.mWorkers.empty();
-    return room && IsAsking(aStep) ? wait_cause::Ticket : wait_cause::Room;
+    const bool hasCapacity = aReservation.mPreemptions.empty() &&
+                             aReservation.mDrainingTasks == 0 &&
+                             !aReservation.mWorkers.empty();
+    return hasCapacity && HasOpenQuery(aStep) ? wait_cause::Ticket
+                                              : wait_cause::Room;
   }
 
-  // A question about the step is under way, or part of this plan.
-  [[nodiscard]] bool IsAsking(const open_step& aStep) const
+  // Whether a query for the step is in flight or part of this plan.
+  [[nodiscard]] bool HasOpenQuery(const open_step& aStep) const
   {
     return mInput.mOpenQueries->contains(aStep.mRef) ||
            (!mResult.mQueries.empty() &&
             mResult.mQueries.back().mStep == aStep.mRef);
   }
 
-  // Room is kept only for what can start there: its tickets are valid, or a
-  // question is under way.
-  [[nodiscard]] bool WillHaveTickets(const open_step& aStep,
-                                     const capacity_reservation& aHold) const
+  // Whether the reserved workers' tickets are valid or a query is open.
+  // Capacity is reserved only for steps that can start there.
+  [[nodiscard]] bool WillHaveTickets(
+    const open_step& aStep,
+    const capacity_reservation& aReservation) const
   {
-    return !aStep.mQueue->mAdvice || IsAsking(aStep) ||
-           std::ranges::all_of(aHold.mWorkers, [&](const plan_worker* aWorker) {
-             return mInput.mAdvice->VerdictFor(
-                      aStep.mRef, aWorker->mNumber, mInput.mNow) ==
-                    verdict::Approved;
-           });
+    return !aStep.mQueue->mAdvice || HasOpenQuery(aStep) ||
+           std::ranges::all_of(
+             aReservation.mWorkers, [&](const plan_worker* aWorker) {
+               return mInput.mAdvice->VerdictFor(
+                        aStep.mRef, aWorker->mNumber, mInput.mNow) ==
+                      verdict::Approved;
+             });
   }
 
-  // False: there is something to ask, and nobody free to carry it.
-  bool Ask(const open_step& aStep,
-           std::size_t aTasks,
-           const capacity_reservation& aHold)
+  // Adds a query to the plan if one is worthwhile. Returns false if no advisor
+  // is available for the step.
+  bool Query(const open_step& aStep,
+             std::size_t aTasks,
+             const capacity_reservation& aReservation)
   {
-    if (IsAsking(aStep)) {
+    if (HasOpenQuery(aStep)) {
       return true;
     }
     if (!mAdvisors->CanQuery(aStep)) {
@@ -311,24 +321,24 @@
       return true;
     }
     query_need need{ aTasks, {}, mAdvisors->HasSurplus() };
-    // While it waits for a run to end by itself, its tickets may run out
-    // several times: they are renewed ahead only where nobody else needs the
-    // advisors.
-    if (aHold.mDrainingTasks == 0 || need.mHasSurplusAdvisors) {
-      for (const plan_worker* worker : aHold.mWorkers) {
+    // While a task waits for a run to end on its own, its tickets may expire
+    // several times. They are renewed ahead of time only if no other step needs
+    // the advisors.
+    if (aReservation.mDrainingTasks == 0 || need.mHasSurplusAdvisors) {
+      for (const plan_worker* worker : aReservation.mWorkers) {
         need.mReserved.insert(worker->mNumber);
       }
     }
-    advice_query asked{ aStep.mRef,
+    advice_query query{ aStep.mRef,
                         WorkersToQuery(aStep,
                                        need,
                                        mByService[aStep.mQueue->mService],
                                        *mInput.mAdvice,
                                        mInput.mPolicy,
                                        mInput.mNow) };
-    if (!asked.mWorkers.empty()) {
+    if (!query.mWorkers.empty()) {
       mAdvisors->OnQuery(aStep);
-      mResult.mQueries.push_back(std::move(asked));
+      mResult.mQueries.push_back(std::move(query));
     } else if (aStep.mQueue->mPriority > 0) {
       mResult.mNothingToQuery.push_back(aStep.mRef);
     }
@@ -338,7 +348,7 @@
   plan_input mInput;
   std::unordered_map<worker_number, plan_worker*> mByNumber;
   std::map<service_id, worker_list> mByService;
-  reservation_planner mHolds;
+  reservation_planner mReservations;
   std::optional<advisor_pool> mAdvisors;
   plan_result mResult;
 };
--- a/oriolewalk/flow/planner.h
+++ b/oriolewalk/flow/planner.h
@@ -1,20 +1,21 @@
 #pragma once
 
-// Decides which waiting tasks start where, what gives way for them, and what to
-// ask the policy service.
+// Decides which waiting tasks start on which workers, which runs are preempted
+// for them, and which queries to send to the policy service.
 //
 //   plan_result plan = MakePlan(input);
-//   // propose plan.mStarts, stop plan.mStops, put plan.mQuestions
+//   // propose plan.mStarts, stop plan.mPreemptions, send plan.mQueries
 //
-// The stages, each in files of its own:
+// Each stage has its own files:
 //
-//   open_steps   what waits, in the order in which it is served
-//   placing      where a task starts now
-//   holding      what is kept for, or taken back for, what can't start now
-//   asking       of which workers the policy service's verdict is worth knowing
+//   open_steps       the waiting steps, in the order in which they are served
+//   placement        the worker on which a task starts now
+//   reservations     capacity that is reserved or preempted for tasks that
+//                    can't start now
+//   advice_queries   the workers that an advice query includes
 //
-// Pure: values in, values out; no clock, thread or I/O. Cost: open steps times
-// the workers approved for each, and for each question the service's workers.
+// Pure: no clock, threads or I/O. The cost is the open steps times the workers
+// approved for each, plus the service's workers for each query.
 
 #include <cstdint>
 #include <map>
@@ -39,15 +40,15 @@
 {
   const flow_state* mState = nullptr;
   const advice_cache* mAdvice = nullptr;
-  std::vector<plan_worker> mWorkers; // those that may get work now
-  // Starts that are proposed and not yet applied, and where.
+  std::vector<plan_worker> mWorkers; // those that may get tasks now
+  // Starts that are proposed and not yet applied, with their workers.
   const std::map<task_ref, worker_number>* mProposed = nullptr;
-  // Steps about which a question is under way.
+  // Steps that have a query in flight.
   const std::set<step_ref>* mOpenQueries = nullptr;
-  // Which workers those questions name; null: not told.
+  // The workers that those queries include; null if unknown.
   const std::map<step_ref, std::vector<worker_number>>* mQueriedWorkers =
     nullptr;
-  // Steps that had nothing to ask of late: not looked at again so soon.
+  // Steps that recently had nothing to query; this plan skips them.
   const std::set<step_ref>* mNothingToQuery = nullptr;
   preemption_records mPreemptionRecords;
   suspect_summary mSuspicions;
@@ -64,10 +65,10 @@
   std::string mTicket;
 };
 
-// A run that gives way, and for whom.
+// A run that is preempted, and the step that it is preempted for.
 struct planned_preemption
 {
-  run_start mRun; // and where it is
+  run_start mRun; // with its worker
   step_ref mPreemptor;
 };
 
@@ -76,13 +77,13 @@
   std::vector<planned_start> mStarts;
   std::vector<planned_preemption> mPreemptions;
   std::vector<advice_query> mQueries;
-  std::vector<step_ref> mNothingToQuery; // waiting steps of later queues
+  // Waiting steps of queues below priority 0.
+  std::vector<step_ref> mNothingToQuery;
   std::vector<waiting_step> mWaits;
-  std::size_t mWaiting = 0; // open tasks that found no place
-  // Of those, in queues that come first.
-  std::size_t mUrgentWaiting = 0;
-  cell::resources mFree;     // of all workers together, after the starts
-  cell::resources mReserved; // of that, kept for steps that come first
+  std::size_t mWaiting = 0;       // open tasks that don't start now
+  std::size_t mUrgentWaiting = 0; // those of them in queues of priority 0
+  cell::resources mFree;          // of all workers, after the starts
+  cell::resources mReserved;      // reserved on all workers, out of mFree
 };
 
 plan_result
--- a/oriolewalk/flow/waits.cc
+++ b/oriolewalk/flow/waits.cc
@@ -26,18 +26,18 @@
 wait_tracker::Update(std::span<const waiting_step> aWaiting, time_point aNow)
 {
   ++mPlan;
-  const auto add = [aNow](open_wait& aWait) {
+  const auto addElapsed = [aNow](open_wait& aWait) {
     aWait.mTimes.at(static_cast<std::size_t>(aWait.mCause)) +=
       aNow - aWait.mSince;
     aWait.mSince = aNow;
   };
   for (const waiting_step& step : aWaiting) {
-    const auto [found, fresh] = mOpen.try_emplace(step.mStep);
+    const auto [found, isNew] = mOpen.try_emplace(step.mStep);
     open_wait& wait = found->second;
-    if (fresh) {
+    if (isNew) {
       wait.mSince = aNow;
     } else {
-      add(wait);
+      addElapsed(wait);
     }
     wait.mCause = step.mCause;
     wait.mPlan = mPlan;
@@ -49,7 +49,7 @@
       ++next;
       continue;
     }
-    add(wait);
+    addElapsed(wait);
     ended.push_back({ step, wait.mTimes });
     next = mOpen.erase(next);
   }
--- a/oriolewalk/flow/waits.h
+++ b/oriolewalk/flow/waits.h
@@ -1,14 +1,15 @@
 #pragma once
 
-// Why steps wait, and for how long: for the log, so that it can be told from a
-// job's id afterwards.
+// Tracks why steps wait and for how long. The leader logs the result, so that
+// the waits of a job can be looked up by its id.
 //
-//   wait_account account;
-//   for (const ended_wait& one : account.Note(plan.mWaits, now)) { /* log it */
+//   wait_tracker tracker;
+//   for (const ended_wait& wait : tracker.Update(plan.mWaits, now)) {
+//     // log wait.mTimes
 //   }
 //
-// Soft state of the leader; control thread only. Cost of a call: linear in the
-// steps that wait.
+// Soft state of the leader; control thread only. A call is linear in the
+// waiting steps.
 
 #include <array>
 #include <cstddef>
@@ -25,12 +26,12 @@
 
 enum class wait_cause : std::uint8_t
 {
-  Verdict, // the policy service is being asked which workers may run it
-  Advisor, // that question waits for somebody to carry it
-  Ticket,  // there is room, and its ticket is being renewed
-  Room,    // no worker that may run it has room
-  Gang,    // members of its last attempt aren't over
-  Nowhere, // no worker that is known and sound may run it
+  Verdict, // a query for the workers that may run the step is in flight
+  Advisor, // a query waits for an advisor
+  Ticket,  // an approved worker has capacity; its ticket is being renewed
+  Room,    // no approved worker has free capacity
+  Gang,    // members of the last attempt haven't ended
+  Nowhere, // no usable worker is approved for the step
 };
 
 constexpr std::size_t kWaitCauses = 6;
@@ -41,7 +42,7 @@
 struct waiting_step
 {
   step_ref mStep;
-  std::string_view mQueue; // as long as the table holds
+  std::string_view mQueue; // valid while the queue table is in force
   wait_cause mCause = wait_cause::Room;
   std::size_t mTasks = 0;
 };
@@ -57,8 +58,9 @@
 class wait_tracker
 {
 public:
-  // aWaiting: of a plan made at aNow. The time since the last plan goes to the
-  // cause that each step had then. Returns the steps that wait no more.
+  // aWaiting: the waiting steps of a plan made at aNow. Attributes the time
+  // since the previous plan to the cause that each step had in that plan.
+  // Returns the steps that no longer wait.
   std::vector<ended_wait> Update(std::span<const waiting_step> aWaiting,
                                  time_point aNow);
 
@@ -68,7 +70,7 @@
     wait_cause mCause = wait_cause::Room;
     time_point mSince{};
     wait_times mTimes{};
-    std::uint64_t mPlan = 0; // in which it waited last
+    std::uint64_t mPlan = 0; // the last plan in which the step waited
   };
 
   std::map<step_ref, open_wait> mOpen;
