--- a/testing/flow/advice_queries_test.cc
+++ b/testing/flow/advice_queries_test.cc
@@ -1,4 +1,4 @@
-// Loads in which the policy service's answers are the scarce thing.
+// Plans in which the policy service's answers are the bottleneck.
 
 #include <catch2/catch.hpp>
 
@@ -24,34 +24,34 @@
 
 } // namespace
 
-TEST_CASE("a step asks about workers that are full, too, and once")
+TEST_CASE("one advice query includes full workers as well")
 {
-  // Three of four workers are full. A step that asks about the one with room
-  // learns one verdict at 0.4 s each: where a third is approved it took 16
-  // questions and 48 s to its start. Verdicts don't change, so all are asked
-  // about at once.
+  // Three of four workers are full. A query for only the worker with free
+  // capacity yields one verdict per 0.4 s: with a third of the workers
+  // approved, a step took 16 queries and 48 s to start. Verdicts are final, so
+  // one query includes all workers.
   plan_fixture scene({ Advised(), Queue("runs", 2) });
   std::vector<worker_number> workers;
   for (const char* id : { "w", "ww", "www", "wwww" }) {
     workers.push_back(scene.mBuilder.AddWorker(Worker(id, 8'000)));
   }
-  const job_id fills = scene.mBuilder.AddJob("00", { Step(3, 8'000) }, "runs");
+  const job_id filler = scene.mBuilder.AddJob("00", { Step(3, 8'000) }, "runs");
   for (std::uint32_t index = 0; index < 3; ++index) {
-    scene.mBuilder.Start(testing::state_builder::Run(fills, 1, index),
+    scene.mBuilder.Start(testing::state_builder::Run(filler, 1, index),
                          workers[index]);
   }
   scene.mBuilder.AddJob("01", { Step(1, 8'000) });
   plan_result plan = scene.Plan();
   REQUIRE(plan.mQueries.size() == 1);
   CHECK(plan.mQueries[0].mWorkers.size() == 4);
-  CHECK(plan.mQueries[0].mWorkers.front() == workers[3]); // it has room
+  CHECK(plan.mQueries[0].mWorkers.front() == workers[3]); // has capacity
   scene.mPolicy.mQueriesAhead = false;
   plan = scene.Plan();
   REQUIRE(plan.mQueries.size() == 1);
   CHECK(plan.mQueries[0].mWorkers == std::vector{ workers[3] });
 }
 
-TEST_CASE("workers too small for the step are never asked about")
+TEST_CASE("an advice query excludes workers too small for the step")
 {
   plan_fixture scene({ Advised() });
   scene.mBuilder.AddWorker(Worker("w", 4'000));
@@ -59,14 +59,15 @@
   CHECK(scene.Plan().mQueries.empty());
 }
 
-TEST_CASE("a ticket is renewed before the room that is kept falls free")
+TEST_CASE("a ticket is renewed before the reserved capacity becomes free")
 {
-  // The approved worker is full of work that ends by itself. A ticket that is
-  // renewed only when the room is there leaves it empty for the answer's 0.4 s.
+  // The approved worker is full of runs that end on their own. A ticket that is
+  // renewed only once the capacity is free leaves the worker idle for the 0.4 s
+  // until the answer arrives.
   plan_fixture scene({ Advised(), Queue("runs", 2) });
   const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
-  const job_id fills = scene.mBuilder.AddJob("00", { Step(1, 8'000) }, "runs");
-  scene.mBuilder.Start(testing::state_builder::Run(fills, 1), worker);
+  const job_id filler = scene.mBuilder.AddJob("00", { Step(1, 8'000) }, "runs");
+  scene.mBuilder.Start(testing::state_builder::Run(filler, 1), worker);
   const job_id waits = scene.mBuilder.AddJob("01", { Step(1, 8'000) });
   scene.Approve(waits, { worker });
   CHECK(scene.Plan().mQueries.empty());
@@ -76,11 +77,11 @@
   CHECK(plan.mQueries[0].mWorkers == std::vector{ worker });
 }
 
-TEST_CASE("a later queue's step is asked about though an earlier one has many")
+TEST_CASE("a lower-priority queue is guaranteed an advisor")
 {
-  // Every advisor that falls free goes to the queue of priority 1, whose
-  // tickets run out again and again; a step of the last queue is never asked
-  // about and waits for ever, with its room free. One advisor is its own.
+  // Without a guaranteed advisor, every advisor that becomes free goes to the
+  // queue of priority 1, whose tickets expire repeatedly. A step of the last
+  // queue then starves although there is capacity for it.
   queue_row last = Queue("runs", 2);
   last.mAdvice = advice_timing{ 150, 2, 2'000 };
   plan_fixture scene({ Advised(), last });
@@ -90,7 +91,7 @@
   const job_id later = scene.mBuilder.AddJob("02", { Step(1, 1'000) }, "runs");
   scene.mAdvisors = 9;
   scene.mUsedAdvisors["fees"] = 5;
-  scene.mFreeAdvisors = 3; // two of them are kept for the first queue
+  scene.mFreeAdvisors = 3; // two are reserved for the top-priority queue
   const plan_result plan = scene.Plan();
   REQUIRE(plan.mQueries.size() == 1);
   CHECK(plan.mQueries[0].mStep.mJob == later);
@@ -98,10 +99,11 @@
   CHECK(scene.Plan().mQueries[0].mStep.mJob != later);
 }
 
-TEST_CASE("tasks that last are asked about before all advisors are taken")
+TEST_CASE("long-running tasks may use the reserved advisors")
 {
-  // A service's task has failed; all but the advisors kept for the first queue
-  // are busy. Were it to wait for another one, its users would be without it.
+  // A task of a service has failed, and only the advisors reserved for the
+  // top-priority queue are free. If its step waited for another advisor, the
+  // service would stay down until then.
   queue_row stays = Queue("runs", 1);
   stays.mAdvice = advice_timing{ 560, 8, 2'000 };
   plan_fixture scene({ Advised(), stays });
--- a/testing/flow/plan_fixture.h
+++ b/testing/flow/plan_fixture.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A cell as a plan sees it: queues, workers and jobs in a state of their own,
-// verdicts, and what is under way. Tests change the parts and plan again.
+// The input of a plan: queues, workers and jobs in a separate state, verdicts,
+// and proposals and queries in flight. Tests change parts of it and plan again.
 
 #include <map>
 #include <set>
@@ -66,23 +66,23 @@
     return input;
   }
 
-  // The policy service approves all of aWorkers for the job's first step, by
-  // tickets that are valid for aFor from now on.
+  // Records that the policy service approved all of aWorkers for the job's
+  // first step, with tickets that are valid for aFor from now on.
   void Approve(const job_id& aJob,
                const std::vector<worker_number>& aWorkers,
                duration aFor = seconds(2))
   {
-    std::vector<std::pair<worker_number, worker_id>> asked;
+    std::vector<std::pair<worker_number, worker_id>> queried;
     std::vector<approval> approved;
     for (const worker_number number : aWorkers) {
       const worker_id& id =
         mBuilder.mState.FindWorker(number)->mDescription.mId;
-      asked.emplace_back(number, id);
+      queried.emplace_back(number, id);
       approved.push_back({ id, "ticket" });
     }
     mAdvice.OnAnswer({ aJob, 0, 0 },
                      mBuilder.mState.FindJob(aJob)->mQueue.mName,
-                     asked,
+                     queried,
                      approved,
                      mNow + aFor);
   }
--- a/testing/flow/planner_test.cc
+++ b/testing/flow/planner_test.cc
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("a worker's capacity is never planned beyond")
+TEST_CASE("a plan never exceeds a worker's capacity")
 {
   plan_fixture scene;
   scene.mBuilder.AddWorker(Worker("w", 2'500));
@@ -25,11 +25,11 @@
   CHECK(plan.mWaiting == 3);
 }
 
-TEST_CASE("most per worker counts what is proposed and not yet applied")
+TEST_CASE("proposed starts count towards the maximum per worker")
 {
-  // Two plans in quick succession: the first one's starts are on their way
-  // through the log. A second plan that doesn't count them would put more
-  // tasks of the step on a worker than may be there.
+  // Two plans follow each other before the starts of the first one are applied.
+  // If the second plan ignored them, it would start more tasks of the step on a
+  // worker than the maximum.
   plan_fixture scene;
   const worker_number worker = scene.mBuilder.AddWorker(Worker("w"));
   step_spec apart = Step(4, 100);
@@ -41,11 +41,10 @@
   CHECK(scene.Plan().mStarts.empty());
 }
 
-TEST_CASE("questions of other queues leave advisors to the first one")
+TEST_CASE("advisors are reserved for the top-priority queue")
 {
-  // A policy that takes long for the other queues' questions: with all
-  // advisors at those, an urgent job waits for one to be free before it can
-  // even ask.
+  // The other queues' queries take long. If they occupied all advisors, an
+  // urgent job would wait for an advisor before it could send its query.
   queue_row urgent = Queue("fees", 0);
   urgent.mAdvice = advice_timing{ 30, 0.4, 2'000 };
   queue_row other = Queue("runs", 2);
@@ -56,16 +55,16 @@
     scene.mBuilder.AddJob(id, { Step(1, 1'000) }, "runs");
   }
   scene.mAdvisors = 6;
-  scene.mFreeAdvisors = 4; // two are kept
+  scene.mFreeAdvisors = 4; // two are reserved
   CHECK(scene.Plan().mQueries.size() == 2);
   scene.mFreeAdvisors = 2;
   CHECK(scene.Plan().mQueries.empty());
-  const job_id asks = scene.mBuilder.AddJob("00", { Step(1, 1'000) });
+  const job_id urgentJob = scene.mBuilder.AddJob("00", { Step(1, 1'000) });
   REQUIRE(scene.Plan().mQueries.size() == 1);
-  CHECK(scene.Plan().mQueries[0].mStep.mJob == asks);
+  CHECK(scene.Plan().mQueries[0].mStep.mJob == urgentJob);
 }
 
-TEST_CASE("the queue that comes first gets the room")
+TEST_CASE("the queue with the higher priority gets the capacity")
 {
   plan_fixture scene;
   scene.mBuilder.AddWorker(Worker("w", 1'000));
@@ -76,12 +75,12 @@
   CHECK(plan.mStarts[0].mStart.mRun.mTask.mJob == urgent);
 }
 
-TEST_CASE("urgent work is planned whatever stands before it in the backlog")
+TEST_CASE("a backlog doesn't hide an urgent job from the plan")
 {
-  // A burst at a large cell: 5,000 tasks of a later queue wait for room, more
-  // than one plan looks at, and their jobs' ids happen to come first. An urgent
-  // job that comes then has room and would never start: its caller sees it
-  // queued until its objective is long over, though workers are free.
+  // 5,000 tasks of a lower-priority queue wait for capacity, which is more than
+  // a plan considers, and their job ids sort first. If the limit applied before
+  // the steps are ordered, an urgent job would stay queued past its objective
+  // although workers are free.
   plan_fixture scene;
   scene.mBuilder.AddWorker(Worker("w", 1'000));
   for (int job = 0; job < 50; ++job) {
@@ -95,7 +94,7 @@
   CHECK(plan.mStarts[0].mStart.mRun.mTask.mJob == urgent);
 }
 
-TEST_CASE("a gang is planned whole or not at all")
+TEST_CASE("either all members of a gang start or none")
 {
   plan_fixture scene;
   scene.mBuilder.AddWorker(Worker("w", 2'000));
@@ -108,7 +107,7 @@
   CHECK(plan.mStarts.size() == 3);
 }
 
-TEST_CASE("a gang's next attempt is above all of its members'")
+TEST_CASE("a gang's attempt is higher than the last one of every member")
 {
   plan_fixture scene;
   const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
@@ -116,7 +115,7 @@
   gang.mGang = true;
   const job_id job = scene.mBuilder.AddJob("00", { gang });
   scene.mBuilder.Start(state_builder::Run(job, 3, 1), worker);
-  CHECK(scene.Plan().mStarts.empty()); // a member of the last one is there
+  CHECK(scene.Plan().mStarts.empty()); // a member of the last attempt runs
   scene.mBuilder.End(state_builder::Run(job, 3, 1), worker, run_outcome::Alone);
   const plan_result plan = scene.Plan();
   REQUIRE(plan.mStarts.size() == 2);
@@ -124,7 +123,7 @@
   CHECK(plan.mStarts[1].mStart.mRun.mAttempt == 4);
 }
 
-TEST_CASE("a step bound to one rack stays in one")
+TEST_CASE("all tasks of a step bound to one rack start in the same rack")
 {
   plan_fixture scene;
   worker_description other = Worker("ww", 2'000);
@@ -141,7 +140,7 @@
   CHECK(plan.mStarts[1].mStart.mWorker == there);
 }
 
-TEST_CASE("where the policy must approve, tickets come first")
+TEST_CASE("a queue with a policy service starts tasks only with tickets")
 {
   queue_row queue = Queue("fees", 0);
   queue.mAdvice = advice_timing{ 20, 0.3, 2'000 };
@@ -162,7 +161,7 @@
   REQUIRE(plan.mStarts.size() == 2);
   CHECK(plan.mStarts[0].mStart.mWorker == good);
   CHECK(plan.mStarts[0].mTicket == "t1");
-  // A ticket that has run out is asked for again, and only that one.
+  // An expired ticket is renewed without querying refused workers again.
   scene.mNow += seconds(3);
   plan = scene.Plan();
   CHECK(plan.mStarts.empty());
@@ -170,10 +169,10 @@
   CHECK(plan.mQueries[0].mWorkers == std::vector{ good });
 }
 
-TEST_CASE("a step that needs a label goes only where it is")
+TEST_CASE("a step that requires a label starts only on workers that have it")
 {
-  // A queue without a policy service: nobody else keeps the step off a worker
-  // that lacks the label, so the plan must.
+  // The queue has no policy service that would refuse workers without the
+  // label, so the plan has to check it.
   plan_fixture scene;
   scene.mBuilder.AddWorker(Worker("w"));
   step_spec step = Step(1, 1'000);
--- a/testing/flow/reservations_test.cc
+++ b/testing/flow/reservations_test.cc
@@ -1,5 +1,5 @@
-// Loads in which room is the scarce thing: what is kept for a task that can't
-// start yet, and what gives way for it.
+// Plans in which capacity is the bottleneck: what is reserved for a task that
+// can't start yet, and which runs are preempted for it.
 
 #include <catch2/catch.hpp>
 
@@ -35,7 +35,7 @@
   return step;
 }
 
-// aCount runs of a later queue at aWorker.
+// Starts the step's tasks as runs of a lower-priority queue on aWorker.
 job_id
 Fill(plan_fixture& aScene,
      const std::string& aId,
@@ -51,29 +51,31 @@
 
 } // namespace
 
-TEST_CASE("room is kept where the policy service is asked for urgent work")
+TEST_CASE("capacity is reserved while an urgent step's query is in flight")
 {
-  // A full cell: a worker has room for one task. An urgent step asks the policy
-  // service about it, which takes 60 ms; a later queue's task, whose ticket is
-  // at hand, took the room meanwhile, and was stopped again when the answer
-  // came, or the step asked about other workers instead.
+  // One worker of a full cell has capacity for one task. An urgent step's query
+  // about it takes 60 ms. Without a reservation, a task of a lower-priority
+  // queue that already has a ticket takes the capacity, and is preempted when
+  // the answer arrives, or the urgent step has to query other workers.
   queue_row urgent = Queue("fees", 0);
   urgent.mAdvice = advice_timing{ 30, 0.4, 2'000 };
   plan_fixture scene({ urgent, Queue("runs", 2) });
   const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 1'000));
-  const job_id asks = scene.mBuilder.AddJob("00", { Step(1, 1'000) }, "fees");
+  const job_id urgentJob =
+    scene.mBuilder.AddJob("00", { Step(1, 1'000) }, "fees");
   scene.mBuilder.AddJob("01", { Step(1, 1'000) }, "runs");
   CHECK(scene.Plan().mStarts.size() == 1);
-  scene.mOpenQueries.insert({ asks, 0, 0 });
-  CHECK(scene.Plan().mStarts.size() == 1); // about others
-  scene.mQueriedWorkers[{ asks, 0, 0 }] = { worker };
+  scene.mOpenQueries.insert({ urgentJob, 0, 0 });
+  CHECK(scene.Plan().mStarts.size() == 1); // the query has other workers
+  scene.mQueriedWorkers[{ urgentJob, 0, 0 }] = { worker };
   CHECK(scene.Plan().mStarts.empty());
 }
 
-TEST_CASE("small tasks fill one worker, so that others stay whole")
+TEST_CASE("small tasks are packed on one worker's accelerators")
 {
-  // Tasks for one accelerator, then one for eight. Were the small ones spread
-  // by free processors, each worker would have some, and none eight free.
+  // A task for eight accelerators follows tasks for one. If the small tasks
+  // were spread by free processors, no worker would have eight accelerators
+  // free.
   plan_fixture scene;
   const worker_number first = scene.mBuilder.AddWorker(Accelerated("w"));
   scene.mBuilder.AddWorker(Accelerated("ww"));
@@ -86,15 +88,15 @@
   }));
 }
 
-TEST_CASE("room that falls free is kept for the large task in front")
+TEST_CASE("capacity that becomes free is reserved for a large task ahead")
 {
-  // A task for a whole worker waits; half of the worker is free. A later
-  // queue's small task would take that half, the next one the other: the large
-  // one never finds its room whole.
+  // A task for a whole worker waits, and half of the worker is free. Without a
+  // reservation, small tasks of a lower-priority queue take each half as it
+  // becomes free, and the large task starves.
   plan_fixture scene;
   const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
-  step_spec stays = Step(1, 4'000); // no checkpoints: it can't give way
-  Fill(scene, "00", worker, stays);
+  step_spec notPreemptible = Step(1, 4'000); // saves no checkpoints
+  Fill(scene, "00", worker, notPreemptible);
   scene.mBuilder.AddJob("01", { Step(1, 8'000) }, "fees");
   scene.mBuilder.AddJob("02", { Step(1, 4'000) }, "runs");
   plan_result plan = scene.Plan();
@@ -106,74 +108,76 @@
   CHECK(plan.mStarts.size() == 1);
 }
 
-TEST_CASE("a later queue's runs give way to an earlier one's")
+TEST_CASE("an urgent task preempts runs of a lower-priority queue")
 {
-  // An urgent task arrives while a later queue holds the only worker. Without
-  // preemption it waits for as long as those tasks run.
+  // An urgent task arrives while a lower-priority queue occupies the only
+  // worker. Without preemption it waits until those runs end.
   plan_fixture scene;
   const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
-  step_spec saves = Step(2, 4'000);
-  saves.mCheckpoints = true;
-  const job_id later = Fill(scene, "00", worker, saves);
+  step_spec preemptible = Step(2, 4'000);
+  preemptible.mCheckpoints = true;
+  const job_id later = Fill(scene, "00", worker, preemptible);
   const job_id urgent = scene.mBuilder.AddJob("01", { Step(1, 4'000) }, "fees");
   const plan_result plan = scene.Plan();
-  REQUIRE(plan.mPreemptions.size() == 1); // one of the two is enough
+  REQUIRE(plan.mPreemptions.size() == 1); // one of the two runs suffices
   CHECK(plan.mPreemptions[0].mRun.mRun.mTask.mJob == later);
   CHECK(plan.mPreemptions[0].mRun.mWorker == worker);
   CHECK(plan.mPreemptions[0].mPreemptor.mJob == urgent);
 }
 
-TEST_CASE("what would lose its work, break a gang or end a service stays")
+TEST_CASE("runs that are costly to stop are not preempted")
 {
+  // A stop would lose the run's work, break its gang or interrupt a service, or
+  // the task was preempted too often already.
   plan_fixture scene;
   const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
-  step_spec saves = Step(1, 8'000);
-  saves.mCheckpoints = true;
-  SECTION("it saves no checkpoints")
+  step_spec preemptible = Step(1, 8'000);
+  preemptible.mCheckpoints = true;
+  SECTION("the run saves no checkpoints")
   {
-    saves.mCheckpoints = false;
+    preemptible.mCheckpoints = false;
   }
-  SECTION("it is a gang's")
+  SECTION("the run belongs to a gang")
   {
-    saves.mGang = true;
+    preemptible.mGang = true;
   }
-  SECTION("it lasts")
+  SECTION("the task is long-running")
   {
-    saves.mLongRunning = true;
+    preemptible.mLongRunning = true;
   }
-  SECTION("it gave way twice already")
+  SECTION("the task was preempted twice already")
   {
     scene.mPreemptionRecords[{ job_id("00"), 0, 0, 0 }] = { 2, false };
   }
-  SECTION("it is giving way")
+  SECTION("the run is being preempted")
   {
     scene.mPreemptionRecords[{ job_id("00"), 0, 0, 0 }] = { 1, true };
   }
-  Fill(scene, "00", worker, saves);
+  Fill(scene, "00", worker, preemptible);
   scene.mBuilder.AddJob("01", { Step(1, 8'000) }, "fees");
   CHECK(scene.Plan().mPreemptions.empty());
 }
 
-TEST_CASE("nothing gives way to its own queue or a later one")
+TEST_CASE("a step doesn't preempt runs of its own queue")
 {
   plan_fixture scene;
   const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
-  step_spec saves = Step(1, 8'000);
-  saves.mCheckpoints = true;
-  Fill(scene, "00", worker, saves);
+  step_spec preemptible = Step(1, 8'000);
+  preemptible.mCheckpoints = true;
+  Fill(scene, "00", worker, preemptible);
   scene.mBuilder.AddJob("01", { Step(1, 8'000) }, "runs");
   CHECK(scene.Plan().mPreemptions.empty());
 }
 
-TEST_CASE("nothing is stopped for a gang that stays short of a place")
+TEST_CASE("no run is preempted for a gang that doesn't fit as a whole")
 {
-  // Two members need a worker each; only one worker can be made free. To stop
-  // what runs there would lose it for nothing.
+  // Two members need a worker each, and only one worker can be freed. The gang
+  // couldn't start, so preempting the run there would be of no use.
   plan_fixture scene;
   const worker_number worker = scene.mBuilder.AddWorker(Worker("w", 8'000));
-  step_spec saves = Step(1, 8'000);
-  saves.mCheckpoints = true;
-  Fill(scene, "00", worker, saves);
+  step_spec preemptible = Step(1, 8'000);
+  preemptible.mCheckpoints = true;
+  Fill(scene, "00", worker, preemptible);
   step_spec gang = Step(2, 8'000);
   gang.mGang = true;
   scene.mBuilder.AddJob("01", { gang }, "fees");
@@ -182,10 +186,10 @@
   CHECK(scene.Plan().mPreemptions.size() == 1);
 }
 
-TEST_CASE("room is kept only for what can get a ticket there")
+TEST_CASE("capacity is reserved only for steps that can get a ticket")
 {
-  // Every advisor is busy and the ticket has run out: nothing can start in the
-  // room that would be kept, while a later queue could use it.
+  // Every advisor is busy and the ticket has expired, so the step couldn't
+  // start in reserved capacity, while a lower-priority queue can use it.
   queue_row first = Queue("fees", 0);
   first.mAdvice = advice_timing{ 500, 6, 2'000 };
   plan_fixture scene({ first, Queue("runs", 2) });
@@ -198,7 +202,7 @@
   CHECK(scene.Plan().mStarts.size() == 1);
   scene.mFreeAdvisors = 1;
   const plan_result plan = scene.Plan();
-  CHECK(plan.mStarts.empty()); // kept: the ticket is asked for
+  CHECK(plan.mStarts.empty()); // reserved, as the ticket is being renewed
   CHECK(plan.mQueries.size() == 1);
 }
 
--- a/testing/flow/urgent_plans_test.cc
+++ b/testing/flow/urgent_plans_test.cc
@@ -7,13 +7,14 @@
 
 namespace oriolewalk::bench {
 
-TEST_CASE("urgent jobs of a large cell start within two short plans")
+TEST_CASE("urgent jobs of a large cell start within two top-priority plans")
 {
-  // 1,100 workers, and six urgent jobs a second beside work of other
-  // queues: a plan for all of it is made every 47 ms at most, since each costs
-  // milliseconds. An urgent step waits for one plan to ask the policy service
-  // (50 to 60 ms) and for one to start: half of them took 150 ms, a twentieth
-  // 234 ms of the 250 ms that their callers allow beside the work itself.
+  // 1,100 workers with six urgent jobs per second and jobs of other queues. A
+  // plan for all queues costs milliseconds, so it is made every 47 ms at most.
+  // An urgent step needs one plan to query the policy service, which takes 50
+  // to 60 ms, and another to start. If it waited for plans for all queues, the
+  // median was 150 ms and the 95th percentile 234 ms, out of the 250 ms that
+  // callers allow in addition to the work.
   flow_scene scene = FlowScenes().back();
   scene.mKinds[0].mPerSecond = 6;
   scene.mKinds[0].mBurst = 1;
