--- a/oriolewalk/flow/decision.h
+++ b/oriolewalk/flow/decision.h
@@ -1,8 +1,6 @@
 #pragma once
 
-// One decision, for the log: what was decided, on which inputs.
-//
-//   notes.push_back({ "job.accepted", { { "job", id }, { "queue", name } } });
+// One entry of the decision log: what was decided, and on which inputs.
 
 #include <string>
 #include <string_view>
@@ -13,7 +11,7 @@
 
 struct decision
 {
-  std::string_view mEvent; // a literal
+  std::string_view mEvent; // a string literal
   std::vector<std::pair<std::string_view, std::string>> mFields;
 };
 
--- a/oriolewalk/flow/erase_while.h
+++ b/oriolewalk/flow/erase_while.h
@@ -1,18 +1,18 @@
 #pragma once
 
-// What is kept of a job's steps, tasks or runs, in maps ordered by the job
-// first.
+// Erases what belongs to one job from maps that are ordered by the job first,
+// such as those of its steps, tasks or runs.
 //
-//   EraseFrom(mTickets, step_ref{ job, 0, 0 },
-//             [&](const step_ref& aStep) { return aStep.mJob == job; });
+//   EraseWhile(mTickets, step_ref{ job, 0, 0 },
+//              [&](const step_ref& aStep) { return aStep.mJob == job; });
 //
-// Jobs end a hundred times a second at 1,100 workers: to go through all that is
-// kept of all jobs for each of them took a twelfth of the leader's decisions.
+// At 1,100 workers a hundred jobs end per second. Scanning the entries of all
+// jobs for each of them took a twelfth of the leader's decision time.
 
 namespace oriolewalk::flow {
 
-// Erases from the first key that isn't before aFirst on, while aIsOne(key).
-// Cost: logarithmic, and what is erased.
+// Erases entries from the first key that isn't less than aFirst on, while
+// aPredicate(key) holds. Cost: logarithmic, plus the erased entries.
 template<class Map, class IsOne>
 void
 EraseWhile(Map& aMap, const typename Map::key_type& aFirst, IsOne aIsOne)
--- a/oriolewalk/flow/interference_control.cc
+++ b/oriolewalk/flow/interference_control.cc
@@ -6,17 +6,18 @@
 
 namespace {
 
-// A change shows in the figures after the pace has taken hold and half a second
-// was measured.
+// The figures show a change only once the new pace has taken effect and half a
+// second has been measured.
 constexpr milliseconds kSettle{ 700 };
-// Shares of the target: above the first the filling work goes to half, above
-// the second it stops, below the third it may have more.
+// Ratios of the tail latency to its target: from kHalveRatio on the pace of
+// best-effort work is halved, from kStopRatio on the work stops, up to
+// kRaiseRatio its pace is raised.
 constexpr double kHalve = 0.85;
 constexpr double kStop = 1.2;
 constexpr double kRaise = 0.6;
 constexpr int kStep = 20;
 constexpr int kFull = 100;
-// Less than this is a stop: what so little work is worth doesn't pay the risk.
+// A lower pace becomes a stop: so little work isn't worth the risk.
 constexpr int kLeast = 10;
 
 double
@@ -59,7 +60,7 @@
   const bool fills = std::ranges::any_of(aRuns, &colocated_run::mBestEffort);
   const double worst = WorstTail(aRuns);
   const auto changed = mChangedAt.find(aWorker);
-  // A stop is never put off.
+  // A stop is never delayed.
   const bool settled =
     changed == mChangedAt.end() || aNow >= changed->second + kSettle;
   if (!fills || (!settled && worst < kStop)) {
--- a/oriolewalk/flow/interference_control.h
+++ b/oriolewalk/flow/interference_control.h
@@ -1,20 +1,21 @@
 #pragma once
 
-// How fast tasks may work that fill what others leave, beside tasks that serve
-// users of their own.
+// Sets the pace of best-effort tasks that share a worker with latency-sensitive
+// tasks.
 //
-//   sharing_control control(options);
+//   interference_control control;
 //   for (const pace_change& change : control.Decide(worker, runs, now)) { ... }
 //
-// The load it answers: filling work disturbs a serving task on the same worker
-// by amounts that differ by image and change within seconds; the figures are
-// rough and half a second old. Without this, serving tasks stay over their
-// target for as long as the filling work lasts; with filling work always held
-// down it would get nothing.
+// Best-effort work slows a latency-sensitive task on the same worker by amounts
+// that differ by image and change within seconds; the figures are rough and
+// half a second old. Without control, latency-sensitive tasks miss their target
+// for as long as the best-effort work runs; if best-effort work were always
+// throttled, it would make no progress.
 //
-// Harm first, fill second: one look over the target halves the pace, two looks
-// well over it stop it; it comes back in small steps while the tail is far
-// under the target. Pure; soft state by worker; no clock.
+// Avoiding harm takes precedence: a tail latency close to the target halves the
+// pace, one well over it stops the work. The pace is raised in small steps
+// while the tail latency is far under the target. Pure; soft state by worker;
+// no clock.
 
 #include <cstdint>
 #include <map>
@@ -26,15 +27,14 @@
 
 namespace oriolewalk::flow {
 
-// A run as the worker's last look showed it.
+// A run as the worker's last poll showed it.
 struct colocated_run
 {
   run_ref mRun;
-  std::int64_t mTailLatencyTargetMs =
-    0;                             // of a serving task; 0: it doesn't serve
-  std::int64_t mTailLatencyMs = 0; // of a serving task
+  std::int64_t mTailLatencyTargetMs = 0; // 0: it isn't latency-sensitive
+  std::int64_t mTailLatencyMs = 0;       // 0: it has no target
   bool mBestEffort = false;
-  int mPercent = 100; // the pace that was asked for last
+  int mPercent = 100; // the pace that was last requested
 };
 
 struct pace_change
--- a/oriolewalk/flow/leader_advice.cc
+++ b/oriolewalk/flow/leader_advice.cc
@@ -1,4 +1,5 @@
-// The leader's questions to the policy service, and who carries them.
+// The leader's queries to the policy service, and the choice of the advisors
+// that send them.
 
 #include <algorithm>
 #include <chrono>
@@ -13,16 +14,17 @@
 
 namespace {
 
-// One that could not carry its last question is left alone for two beats: it
-// fails at once and would be chosen for the next one again. On a day of planned
-// stops one question in nine was lost to it.
+// An advisor whose last query failed is skipped for two heartbeats. It fails at
+// once and would therefore be chosen for the next query again; during planned
+// stops one query in nine was lost this way.
 constexpr milliseconds kAdvisorAside{ 1'000 };
-// Taken off a ticket's validity: the way to the worker and the commit.
+// Subtracted from a ticket's validity for the commit and the delivery of the
+// start to the worker.
 constexpr milliseconds kTicketMargin{ 200 };
-// Added to what the policy service should take for one question, beside half of
-// it: the way there and back over a busy entry. After this another advisor is
-// asked. With 1,500 ms a job whose advisor was cut off lost 2.9 s (a soak),
-// more than an urgent job's whole objective.
+// Added to 1.5 times the expected duration of a query, for the round trip over
+// a busy entry. After this time another advisor is asked. With 1,500 ms, a job
+// whose advisor was cut off lost 2.9 s, more than an urgent job's whole
+// objective.
 constexpr std::int64_t kAdviceMarginMs = 400;
 
 } // namespace
@@ -45,7 +47,7 @@
     return (aside != mAsideUntil.end() && mAt.mNow < aside->second) ||
            busy.contains(aAddress);
   });
-  // Entries first: the control processes have other work.
+  // Entries come first because the control processes have other work.
   std::ranges::reverse(all);
   return all;
 }
--- a/oriolewalk/flow/leader_calls.cc
+++ b/oriolewalk/flow/leader_calls.cc
@@ -1,4 +1,5 @@
-// The leader's answers to callers, workers, operators and our other processes.
+// Handles requests from callers, workers, operators and the scheduler's other
+// processes.
 
 #include <algorithm>
 #include <string>
@@ -48,7 +49,10 @@
     });
   if (!proposed) {
     mPort.mFail(aCall,
-                { error_code::Busy, "propose", {}, "too much is under way" });
+                { error_code::Busy,
+                  "propose",
+                  {},
+                  "too many proposals are in progress" });
   }
 }
 
@@ -185,8 +189,8 @@
   const bool isOld = aBeat.mDescription.mProcessStartMs == born &&
                      aBeat.mSequence < mKeeper.LatestHeartbeatNumber(number);
   if (aBeat.mDescription.mProcessStartMs < born || isOld) {
-    // It was on its way for long: its sender is gone or has said more since; or
-    // it isn't whole.
+    // The heartbeat was delayed, and its sender has ended or has sent a newer
+    // one; or the heartbeat is incomplete.
     NoteLateBeat(aBeat, number);
     mPort.mAnswer(aCall, acknowledgement{});
     return;
@@ -209,8 +213,9 @@
   }
 }
 
-// The first heartbeat that a leader hears may be an old one, from before the
-// worker's room shrank: more room than is known counts by the next one.
+// The first heartbeat that a leader receives may have been sent before the
+// worker's capacity shrank. A capacity above the known one is therefore
+// accepted only from the next heartbeat on.
 worker_description
 leader_core::FactsOf(const worker_heartbeat& aBeat, worker_number aNumber) const
 {
@@ -282,7 +287,7 @@
   for (const heartbeat_digest& note : aSummary.mDigests) {
     const worker_number number = mState.NumberOf(note.mId);
     if (number == 0 || BornOf(number) != note.mProcessStartMs) {
-      unknown.mIds.push_back(note.mId); // its next heartbeat comes whole
+      unknown.mIds.push_back(note.mId); // its next heartbeat is a full one
     } else {
       mKeeper.OnHeartbeat(number, note.mSequence, note.mClockMs, mAt.mNow);
     }
@@ -296,10 +301,10 @@
   return mState.Workers().size() > mOptions.mMaxWorkersWithoutRelays;
 }
 
-// A farewell that was held up must not end the next life: its tasks would start
-// a second time while they run. One that doesn't say whose it is counts for a
-// worker that drains, as one does before it leaves; any other's next look
-// tells.
+// A delayed deregistration must not end the next incarnation: its tasks would
+// start a second time while they run. A deregistration without a process start
+// time counts for a worker that drains, as workers do before they leave; for
+// any other worker the next poll shows whether it restarted.
 bool
 leader_core::IsOfEarlierLife(const worker_deregistration& aFarewell,
                              const worker_record& aKnown)
@@ -351,8 +356,8 @@
 void
 leader_core::On(call_number aCall, const join_request& aJoin)
 {
-  // The flow core has seen to its membership. A spare carries questions to the
-  // policy service as entries do.
+  // The flow core has already handled the membership. A spare sends queries to
+  // the policy service, as entries do.
   mEntries[aJoin.mAddress] = mAt.mNow;
   mSpares[aJoin.mAddress] = mAt.mNow;
   mPort.mAnswer(aCall,
--- a/oriolewalk/flow/leader_core.cc
+++ b/oriolewalk/flow/leader_core.cc
@@ -12,11 +12,11 @@
 
 namespace {
 
-// How often due times, broken gangs and unwanted runs are looked for.
+// Interval of the checks for due occurrences, broken gangs and unwanted runs.
 constexpr milliseconds kSweepEvery{ 100 };
-// What stands still for less than two seconds isn't taken back, and ended jobs
-// are kept for minutes: to look at every task ten times a second would cost a
-// leader of 350 workers more than its plans.
+// A run that stalls for less than two seconds isn't stopped as a straggler, and
+// ended jobs are kept for minutes. Checking every task ten times a second would
+// cost a leader of 350 workers more than its plans.
 constexpr milliseconds kSlowSweepEvery{ 500 };
 
 } // namespace
@@ -120,7 +120,8 @@
     const auto* ends = std::get_if<end_runs>(&body);
     const worker_number worker = ends == nullptr ? 0 : ends->mWorker;
     if (!mPort.mPropose(std::move(body), {}) && worker != 0) {
-      mKeeper.OnEndsApplied(worker, mAt.mNow); // the next look lists them again
+      mKeeper.OnEndsApplied(worker,
+                            mAt.mNow); // the next poll lists the ends again
     }
   }
 }
@@ -198,7 +199,7 @@
     }
   }
   const std::vector<std::string> members = mPort.mMembers();
-  if (!members.empty()) { // this process comes first
+  if (!members.empty()) { // the first is this process
     others.insert(others.end(), members.begin() + 1, members.end());
   }
   return others;
--- a/oriolewalk/flow/leader_core.h
+++ b/oriolewalk/flow/leader_core.h
@@ -1,20 +1,24 @@
 #pragma once
 
-// What the leader decides of jobs and workers: answers to callers, starts,
-// stops, questions to the policy service. Made at the start of each term and
-// dropped at its end, so that nothing of an older term can act.
+// The leader's decisions about jobs and workers: answers to callers, starts and
+// stops of runs, and queries to the policy service. An object is created at the
+// start of each term and destroyed at its end, so that state of an older term
+// can't act.
 //
-//   leading lead(state, options, port, term, now);
-//   lead.Ask(call, request);
-//   lead.Applied(command, outcome, ours);
-//   lead.Tick();
+//   leader_core core(state, options, port, term, now, ledUntil);
+//   core.HandleRequest(call, request);
+//   core.OnApplied(command, outcome);
+//   core.Tick();
+//   core.PlanIfDue();
 //
-// leading.cc holds what drives it, leading_calls.cc the answers,
-// leading_plans.cc the plans, leading_runs.cc the runs, leading_advice.cc the
-// questions to the policy service, leading_notes.cc the log.
+// leader_core.cc holds the event handlers, leader_calls.cc the answers to
+// requests, leader_plans.cc the plans, leader_runs.cc the life cycle of runs,
+// leader_advice.cc the queries to the policy service, leader_log.cc the
+// decision log.
 //
-// It acts through `leading_port`: proposing, answering. Time is set by the
-// owner before each call. The flow core owns it; control thread only.
+// It acts through `leader_port`: it proposes commands and answers calls. The
+// owner sets the time before each call. Owned by the flow core; control thread
+// only.
 
 #include <cstdint>
 #include <functional>
@@ -52,37 +56,37 @@
   std::int64_t mWallMs = 0;
 };
 
-// A question for an advisor to carry.
+// A query to the policy service that an advisor sends for the leader.
 struct advice_call
 {
   std::uint64_t mId = 0;
-  std::string mAdvisor; // RPC address; our own: carried here
+  std::string mAdvisor; // RPC address; our own: sent by this process
   advice_request mRequest;
 };
 
 struct leader_port
 {
   using on_applied = std::function<void(const apply_outcome&)>;
-  // False: not proposed, nothing will come of it.
+  // Returns false if nothing was proposed; on_applied is then never called.
   std::function<bool(command_body, on_applied)> mPropose;
   std::function<void(call_number, flow_answer)> mAnswer;
   std::function<void(call_number, error)> mFail;
   std::function<void(decision)> mLogDecision;
-  // RPC addresses of the control processes that are heard, our own among them.
+  // RPC addresses of the live control processes, this one's first.
   std::function<std::vector<std::string>()> mMembers;
 };
 
-// An entry or a spare that was silent for so long carries nothing: three beats.
+// An entry or a spare that has missed three heartbeats gets no work.
 inline constexpr milliseconds kEntryTimeout{ 1'600 };
 
-// "queued", "running", "done", "failed" or "cancelled".
+// Returns "queued", "running", "done", "failed" or "cancelled".
 std::string_view
 StateName(const job_record& aJob);
 
 class leader_core
 {
 public:
-  // aLedUntil: as worker_keeper's.
+  // aLedUntil: see worker_supervisor.
   leader_core(const flow_state& aState,
               flow_options aOptions,
               leader_port aPort,
@@ -92,14 +96,14 @@
 
   void SetTime(instant aAt) { mAt = aAt; }
   void HandleRequest(call_number aCall, const flow_request& aRequest);
-  // A command was applied, whoever proposed it.
+  // A command was applied, no matter which process proposed it.
   void OnApplied(const command_body& aCommand, const apply_outcome& aOutcome);
   void OnOrderAnswer(std::uint64_t aOrder, const order_answer& aAnswer);
   void OnAdviceAnswer(std::uint64_t aOrder, const result<approvals>& aAnswer);
-  // Orders could not be handed over to this control process.
+  // Orders could not be handed to the relay at this address.
   void OnRelayFailure(const std::string& aAddress);
   void Tick();
-  // Plans, if anything has changed. After a batch of events.
+  // Makes a plan if one is due. To be called after each batch of events.
   void PlanIfDue();
 
   std::vector<worker_order> TakeOrders();
@@ -114,7 +118,7 @@
     std::int64_t mValidMs = 0;
     std::vector<std::pair<worker_number, worker_id>> mAsked;
     time_point mAt{};
-    bool mFirst = false; // of a queue that comes first
+    bool mFirst = false; // from a top-priority queue
   };
 
   void On(call_number aCall, const entry_heartbeat& aBeat);
@@ -130,7 +134,7 @@
   void On(call_number aCall, const leader_probe& aProbe);
 
   void Propose(command_body aBody, leader_port::on_applied aThen = {});
-  // Proposes; the call is answered with aAnswer once it is applied.
+  // Proposes aBody and answers the call with aAnswer once it is applied.
   void ProposeAndAnswer(call_number aCall,
                         command_body aBody,
                         flow_answer aAnswer);
@@ -144,7 +148,7 @@
   void StopStragglers(const job_id& aId, const job_record& aJob);
   void LearnFrom(const end_runs& aEnds);
   void NoteEnds(const end_runs& aEnds);
-  // Tasks that crashed their workers, for which their jobs have ended.
+  // Logs the tasks whose crashes of workers ended their jobs.
   void NoteGivenUp(const std::vector<task_ref>& aTasks);
   void NoteStarts(const std::vector<run_start>& aStarts);
   void SharePace(worker_number aWorker, const worker_view& aView);
@@ -152,11 +156,11 @@
   void OpenDue();
   void ForgetOld();
   void PumpKeeper();
-  // This life of the worker is over.
+  // The worker's known incarnation has ended.
   void ForgetWorker(worker_number aWorker);
   [[nodiscard]] std::vector<plan_worker> UsableWorkers() const;
   [[nodiscard]] plan_input MakeInput(plan_scope aScope);
-  // Whether what was applied may let a step that comes first go on.
+  // Whether the applied command may allow a top-priority step to proceed.
   [[nodiscard]] bool ConcernsFirst(const command_body& aCommand) const;
   void NoteAccepted(const std::string& aId,
                     const queue_row& aQueue,
@@ -168,15 +172,15 @@
   void ForgetYielded();
   void AskPolicy(const advice_query& aQuestion);
   [[nodiscard]] std::vector<std::string> FreeAdvisors() const;
-  // Control processes that are heard, but for this one; spares first, since
-  // they neither vote nor store.
+  // The live control processes except this one. Spares come first, since they
+  // neither vote nor store.
   [[nodiscard]] std::vector<std::string> OtherControls() const;
   void ChooseCarriers();
-  // Whether there are so many workers that other control processes share in
-  // what doesn't need the leader.
+  // Whether the cell has so many workers that other control processes take over
+  // work that doesn't need the leader.
   [[nodiscard]] bool IsLarge() const;
   [[nodiscard]] advisor_load AdvisorLoad();
-  // Of a worker that is known: as in worker_facts.
+  // The process start time of a known worker, as in worker_description.
   [[nodiscard]] std::int64_t BornOf(worker_number aWorker) const;
   void NoteLateBeat(const worker_heartbeat& aBeat, worker_number aKnown);
   void NoteRestart(worker_number aKnown);
@@ -186,7 +190,7 @@
   [[nodiscard]] bool IsWorkerChanged(const worker_description& aFacts,
                                      bool aDraining,
                                      worker_number aNumber) const;
-  // What a heartbeat of a known life says of its worker.
+  // The description in a heartbeat of a known incarnation.
   [[nodiscard]] worker_description FactsOf(const worker_heartbeat& aBeat,
                                            worker_number aNumber) const;
   void Register(call_number aCall,
@@ -204,28 +208,28 @@
   wait_tracker mWaits;
   interference_control mSharing;
   plan_timer mPace;
-  std::size_t mFirstWaiting = 0; // tasks of the first queues, in the last plan
+  std::size_t mFirstWaiting = 0; // tasks, in the last plan
   time_point mShortNotedAt{};
   time_point mSweptAt{};
   time_point mSlowSweptAt{};
-  // Proposed and not yet applied.
+  // Starts that are proposed and not yet applied.
   std::map<task_ref, worker_number> mProposed;
   std::map<worker_number, cell::resources> mProposedRoom;
   std::map<run_ref, std::string> mTickets; // of proposed starts
-  // Runs that were told to give way and may still be under way, and where.
+  // Preempted runs that may not have ended yet, and their workers.
   std::map<run_ref, worker_number> mYielding;
   preemption_records mYields;
   suspect_isolation mProbation;
   std::map<std::string, time_point> mEntries;
-  std::map<std::string, time_point> mSpares; // control processes, not members
+  std::map<std::string, time_point> mSpares; // processes that aren't members
   relay_assignment mCarriers;
   std::map<std::string, time_point> mAsideUntil; // advisors
   std::map<std::uint64_t, open_question> mOpenQuestions;
   std::set<step_ref> mAsking;
-  std::map<step_ref, std::vector<worker_number>> mNamed; // by those questions
+  std::map<step_ref, std::vector<worker_number>> mNamed; // by open queries
   std::set<step_ref> mNothingToAsk;                      // since mAskedAllAt
   time_point mAskedAllAt{};
-  recent_peak mFirstPeak; // questions of the first queues at a time
+  recent_peak mFirstPeak; // concurrent queries
   std::uint64_t mLastQuestion;
   std::vector<advice_call> mQuestions;
 };
--- a/oriolewalk/flow/leader_log.cc
+++ b/oriolewalk/flow/leader_log.cc
@@ -1,5 +1,5 @@
-// What the leader writes to the log of its decisions: bounded, a line for what
-// befalls a job, a step or a run, and for shortages one a second.
+// The leader's decision log. Its volume is bounded: one line per event of a
+// job, a step or a run, and shortages are logged once a second.
 
 #include <array>
 #include <chrono>
@@ -19,11 +19,11 @@
 using note_fields = decltype(decision::mFields);
 
 constexpr milliseconds kShortNoteEvery{ 1'000 };
-// A step that waited for less than two commits needs no line of its own.
+// A wait that is shorter than two commits isn't logged.
 constexpr milliseconds kLeastNotedWait{ 20 };
 
-// "8x2500m/1024mb/2a,gang 4x500m/64mb,after": what decides where and when steps
-// run.
+// Formats steps as "8x2500m/1024mb/2a,gang 4x500m/64mb,after", with the
+// properties that decide where and when they run.
 std::string
 Describe(const job_spec& aSpec)
 {
@@ -74,8 +74,8 @@
         { "steps", Describe(aSpec) } } });
 }
 
-// One line for each step that waited, once it has its places: for what, and for
-// how long.
+// Logs one line per step that waited, once its tasks are placed, with the time
+// waited for each cause.
 void
 leader_core::NoteWaits(const plan_result& aPlan)
 {
@@ -97,8 +97,8 @@
   }
 }
 
-// Why work waits, once a second while it does: a line for all, and one for each
-// queue with its tasks by cause.
+// Logs why work waits, once a second while it does: one line for all work, and
+// one per queue with its waiting tasks by cause.
 void
 leader_core::NoteShortage(const plan_result& aPlan, std::size_t aWorkers)
 {
@@ -132,8 +132,8 @@
   }
 }
 
-// A line for the starts of a step that were committed together and have the
-// same attempt: "17@WORKER 18@WORKER". A line for each start alone is half of
+// Logs one line for the starts of a step that were committed together and have
+// the same attempt: "17@WORKER 18@WORKER". A line per start would be half of
 // all lines, 1,200 a second at 1,100 workers.
 void
 leader_core::NoteStarts(const std::vector<run_start>& aStarts)
@@ -171,8 +171,9 @@
   }
 }
 
-// A line for each end that isn't done, and one for each step that is: the ends
-// as done of a step's tasks tell nothing more, and are most of all.
+// Logs one line per run that ended without success, and one per finished step.
+// The successful ends of a step's tasks add no information and are the most
+// frequent.
 void
 leader_core::NoteEnds(const end_runs& aEnds)
 {
--- a/oriolewalk/flow/leader_plans.cc
+++ b/oriolewalk/flow/leader_plans.cc
@@ -1,4 +1,4 @@
-// When the leader plans, on what it believes, and what it does with the plan.
+// Builds the planner's input, makes plans when they are due and acts on them.
 
 #include <algorithm>
 #include <utility>
@@ -11,11 +11,12 @@
 
 namespace {
 
-// A waiting step of a later queue that had nothing to ask is looked at again so
-// often: each look goes over its service's workers, and hundreds of steps wait.
+// Interval after which a waiting step of a lower-priority queue that had no
+// worker to query is checked again. Each check scans the workers of the step's
+// service, and hundreds of steps wait.
 constexpr milliseconds kAskAllEvery{ 100 };
 
-// aWorkers: in the order of their numbers.
+// aWorkers: sorted by number.
 plan_worker*
 Find(std::vector<plan_worker>& aWorkers, worker_number aNumber)
 {
@@ -28,7 +29,8 @@
 void
 AvoidFew(std::vector<plan_worker>& aWorkers)
 {
-  // If many seem bad, something else is: nobody is avoided then.
+  // If more than a third of the workers seem bad the cause lies elsewhere, and
+  // no worker is avoided.
   constexpr std::ptrdiff_t kLeastOthers = 3;
   if (std::ranges::count(aWorkers, true, &plan_worker::mAvoided) *
         kLeastOthers >
--- a/oriolewalk/flow/leader_runs.cc
+++ b/oriolewalk/flow/leader_runs.cc
@@ -1,5 +1,5 @@
-// The leader's runs, from the commit of a start to its end: what is told to the
-// keeper, what is stopped, what is learnt and noted of ends.
+// The life cycle of runs from a committed start to the end: hands them to the
+// worker supervisor, stops them, and records and logs their ends.
 
 #include <algorithm>
 #include <iterator>
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Of a gang's step that isn't done: some of its members are placed, not all.
+// Whether some but not all members of an unfinished gang step are placed.
 bool
 IsPartlyPlaced(const step_record& aStep)
 {
@@ -50,8 +50,8 @@
   }
 }
 
-// Runs whose job has ended, also those that a start of just then began; and
-// gangs of which a member is missing.
+// Stops runs whose job has ended, including those that were started at the same
+// moment, and gangs of which a member is missing.
 void
 leader_core::StopUnwanted()
 {
@@ -95,7 +95,8 @@
     for (std::uint32_t step = 0; step < occurrence.mSteps.size(); ++step) {
       const step_spec& spec = aJob.mSpec.mSteps[step];
       const auto& tasks = occurrence.mSteps[step].mTasks;
-      // A gang ends together, and what lasts has no time to compare.
+      // A gang ends together, and a long-running step has no duration to
+      // compare.
       if (spec.mGang || spec.mLongRunning ||
           occurrence.mSteps[step].mDoneTasks == 0) {
         continue;
@@ -118,8 +119,9 @@
   }
 }
 
-// A gang works only whole. Were the rest left waiting for a member that was
-// refused, they would hold their room until they gave up.
+// A gang makes progress only if it is complete. If a member was refused and the
+// others kept waiting for it, they would hold their capacity until they timed
+// out.
 void
 leader_core::StopBrokenGangs(const job_id& aId, const job_record& aJob)
 {
@@ -205,7 +207,7 @@
   }
 }
 
-// What has ended gives way no more.
+// Forgets preempted runs that have ended.
 void
 leader_core::ForgetYielded()
 {
--- a/oriolewalk/flow/options.h
+++ b/oriolewalk/flow/options.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The figures of the workflow rooms, with their grounds. A deployment's
-// adapter fills in the bounds that its platform states.
+// The options of the workflow scheduler, with their reasons. A deployment's
+// adapter sets the bounds that its platform states.
 
 #include <cstddef>
 #include <cstdint>
@@ -15,48 +15,47 @@
 {
   // The longest lease that a worker grants (the platform's bound).
   milliseconds mMaxLease{ 6'000 };
-  // The lease that is asked for. Long enough for a leader change (about 1 s)
+  // The lease that is requested. Long enough for a leader change (about 1 s)
   // with a second one right after it; short enough that work on a lost worker
-  // starts again soon.
+  // soon starts elsewhere.
   milliseconds mLease{ 4'000 };
-  // By how much a worker's clock may be slow (the platform's bound).
+  // The share by which a worker's clock may be slow (the platform's bound).
   double mMaxClockDrift = 0.02;
-  // How long a worker holds a look open for an end. A third of the lease, so
-  // that two looks may be lost.
+  // How long a worker holds a poll open until a run ends. Short enough that two
+  // polls may be lost within a lease.
   milliseconds mLongPollWait{ 1'000 };
-  // Where filling work runs beside others, a look is needed as often as the
-  // figures change: they are of the last half second.
+  // The same where best-effort work shares a worker: polls are needed as often
+  // as the figures change, which cover the last half second.
   milliseconds mSharedLongPollWait{ 400 };
-  // What is added to a worker's own waiting before an answer counts as lost:
-  // about a hundred round trips, and far under the lease.
+  // Added to the worker's own waiting time before an answer counts as lost:
+  // about a hundred round trips, and far less than the lease.
   milliseconds mAnswerMargin{ 600 };
-  // After a look without an answer: the next one.
+  // Delay of the next poll after one without an answer.
   milliseconds mPollRetryDelay{ 150 };
-  // A start without an answer that no look has shown after this long is taken
-  // back, so that it can go elsewhere.
+  // A start without an answer that no poll has shown after this time is
+  // withdrawn, so that the task can start elsewhere.
   milliseconds mStartTimeout{ 250 };
-  // A stop without an answer is sent again.
+  // A stop without an answer is sent again after this time.
   milliseconds mStopRetryDelay{ 300 };
-  // A worker that nothing was heard of for two and a half heartbeats gets no
-  // new work.
+  // A worker that was silent for two and a half heartbeats gets no new work.
   milliseconds mHeartbeatTimeout{ 3'750 };
-  // A worker's room may shrink while it runs, and its heartbeat says so:
-  // nothing starts where the last one is older (what the platform allows for
-  // contact and a heartbeat, less what an order takes).
+  // A worker's capacity may shrink while it runs, which its heartbeat reports.
+  // Nothing starts on a worker whose last heartbeat is older than this: the
+  // platform's limit for contact and a heartbeat, less the duration of an
+  // order.
   milliseconds mMaxCapacityAge{ 4'000 };
-  // The pause between a worker's heartbeats.
+  // Interval between a worker's heartbeats.
   milliseconds mHeartbeatInterval{ 1'500 };
-  // A silent worker is taken out after this long, if nothing can run there any
-  // more.
+  // A silent worker is removed after this time, if nothing can still run there.
   milliseconds mWorkerRemovalDelay{ 20'000 };
-  // Ended jobs are shown so long.
+  // How long ended jobs stay visible.
   milliseconds mEndedJobRetention{ 120'000 };
-  // Added for wall clocks that jump by seconds.
+  // Added to the retention for wall clocks that jump by seconds.
   milliseconds mWallClockMargin{ 30'000 };
-  // Up to so many workers the leader makes all calls itself and takes all
-  // heartbeats: handing over costs each order two messages between our
-  // processes and 2 to 4 ms, and half of a core has carried so many with room
-  // to spare.
+  // Up to this many workers the leader makes all calls itself and takes all
+  // heartbeats. A relay costs each order two messages between processes and 2
+  // to 4 ms, and half of a core handles this many workers with capacity to
+  // spare.
   std::size_t mMaxWorkersWithoutRelays = 400;
   plan_policy mPlan;
 };
--- a/oriolewalk/flow/plan_timer.cc
+++ b/oriolewalk/flow/plan_timer.cc
@@ -7,31 +7,32 @@
 
 namespace {
 
-// Between two plans: what happens meanwhile is planned together. A commit takes
-// five times as long.
+// Pause between two plans, so that events in between are planned together. A
+// commit takes five times as long.
 constexpr milliseconds kPlanPause{ 3 };
-// A plan's cost grows with the cell and with what waits. At 350 workers 17 ms
-// while little waits; with 2,000 tasks waiting 47 ms, since a backlog makes
-// plans dear just when the leader has most else to do: at 17 ms its processor
-// was full in bursts and everybody's answers waited.
+// The cost of a plan grows with the workers and the waiting tasks, and so does
+// the pause: at 350 workers it is 17 ms while little waits, and 47 ms with
+// 2,000 tasks waiting. A backlog makes plans expensive when the leader has most
+// other work: with a pause of 17 ms its processor was saturated in bursts and
+// all answers were delayed.
 constexpr microseconds kPlanPausePerWorker{ 40 };
 constexpr microseconds kPlanPausePerWaiting{ 15 };
-// Between two plans for the steps that come first alone, whatever waits behind
-// them. Each such step waits for two plans, one to ask and one to start. With
-// the pause of the others, at 1,100 workers half of the first starts took 150
-// ms of the 250 ms that callers allow beside the work, and 0.81 of a burst's
-// urgent jobs were in time; with this one 90 ms and 0.89 (made time). Such a
-// plan takes a millisecond of a core.
+// Pause between two plans of only the top-priority steps, regardless of the
+// backlog behind them. Each such step waits for two plans, one to query and one
+// to start. With the pause for all steps, at 1,100 workers half of the
+// top-priority first starts took 150 ms of the 250 ms that callers allow beside
+// the work, and 0.81 of a burst's urgent jobs were in time; with this one 90 ms
+// and 0.89. Such a plan takes a millisecond of a core.
 constexpr microseconds kFirstPausePerWorker{ 8 };
-// The pauses are for a process that has the time. One whose ticks come late, at
-// twice their pause or more, has not: as many times longer it waits between two
-// plans. Otherwise plans, which can wait, keep workers' answers and commits
-// from being handled, which then make plans dearer still.
+// The pauses assume a process that keeps up with its work. If its ticks come at
+// twice their interval or later, the pauses are multiplied by that factor.
+// Otherwise plans, which can wait, delay workers' answers and commits, which
+// makes plans still more expensive.
 constexpr milliseconds kTickOnTime{ 10 };
 constexpr std::int64_t kMostLateness = 4;
-// A plan is made at least so often, for tickets that run out.
+// Maximum interval between two plans, since tickets expire.
 constexpr milliseconds kPlanEvery{ 100 };
-// About so many ticks, a sixth of a second, say how busy the process is.
+// Window of the moving average of tick intervals, about a sixth of a second.
 constexpr int kTicksRemembered = 16;
 
 } // namespace
--- a/oriolewalk/flow/plan_timer.h
+++ b/oriolewalk/flow/plan_timer.h
@@ -1,18 +1,19 @@
 #pragma once
 
-// When the leader plans, and whether all waiting steps or those that come
-// first.
+// Decides when the leader plans, and whether it plans all waiting steps or only
+// the top-priority ones.
 //
-//   plan_pace pace;
-//   pace.Ticked(now);                 // on each tick of the process
-//   pace.Changed(concernsFirst);      // something that a plan looks at
-//   if (const auto scope = pace.Due(workers, now)) {
-//     pace.Planned(*scope, waiting, now);
+//   plan_timer timer;
+//   timer.OnTick(now);                   // on each tick of the process
+//   timer.OnChange(affectsTopPriority);  // when an input of the plan changes
+//   if (const auto scope = timer.DueScope(workers, now)) {
+//     timer.OnPlanned(*scope, waiting, now);
 //   }
 //
-// The load it answers: plans that grow with the cell and with its backlog, and
-// callers of urgent work who wait for two of them. Pure; the leading part owns
-// it.
+// The cost of a plan grows with the cell and its backlog, while callers of
+// urgent work wait for two plans. Pauses between plans bound that cost, and
+// shorter ones for top-priority steps keep their delay low. Pure; owned by
+// leader_core.
 
 #include <cstddef>
 #include <cstdint>
@@ -26,18 +27,18 @@
 class plan_timer
 {
 public:
-  // The process's ticks are 10 ms apart, and later the busier it is.
+  // Ticks are 10 ms apart, and further apart the busier the process is.
   void OnTick(time_point aNow);
-  // aFirst: it may let a step that comes first go on.
+  // aTopPriority: the change may allow a top-priority step to proceed.
   void OnChange(bool aFirst)
   {
     mChanged = true;
     mFirstChanged = mFirstChanged || aFirst;
   }
-  // Nothing: no plan is due yet.
+  // Returns nullopt if no plan is due yet.
   [[nodiscard]] std::optional<plan_scope> DueScope(std::size_t aWorkers,
                                                    time_point aNow) const;
-  // aWaiting: tasks that found no place.
+  // aWaiting: tasks that could not be placed.
   void OnPlanned(plan_scope aScope, std::size_t aWaiting, time_point aNow);
 
 private:
@@ -45,9 +46,9 @@
   bool mFirstChanged = false;
   time_point mPlannedAt{}; // all steps
   time_point mFirstPlannedAt{};
-  std::int64_t mWaitingTasks = 0; // in the last plan of all
+  std::int64_t mWaitingTasks = 0; // in the last plan of all steps
   time_point mTickedAt{};
-  duration mTickGap{}; // between two ticks, of late
+  duration mTickGap{}; // moving average of the tick interval
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/preemption.cc
+++ b/oriolewalk/flow/preemption.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A task that gave way twice has lost its restart twice: the third time
-// another one does.
+// A task that was preempted twice has lost two restarts; the next time another
+// task is preempted.
 constexpr int kMostYields = 2;
 
 bool
@@ -25,7 +25,7 @@
                              [](std::int64_t aAmount) { return aAmount <= 0; });
 }
 
-// Whether it frees any of what is missing.
+// Whether stopping a task of this size frees any of the missing resources.
 bool
 Helps(const cell::resources& aSize, const cell::resources& aMissing)
 {
@@ -108,7 +108,7 @@
   }
   for (const candidate& one : CandidatesAt(aWorker.mNumber)) {
     if (one.mPriority <= aStep.mQueue->mPriority) {
-      break; // in the order of priority, the last one's first
+      break; // sorted by priority, the lowest first
     }
     if (!Helps(one.mSize, missing) || !MayYield(one.mRun.mTask)) {
       continue;
--- a/oriolewalk/flow/preemption.h
+++ b/oriolewalk/flow/preemption.h
@@ -1,22 +1,25 @@
 #pragma once
 
-// Which runs give way at a worker so that a task of an earlier queue fits.
+// Chooses the runs that are preempted at a worker so that a task of a
+// higher-priority queue fits.
 //
-//   yield_book book(state, yields);
-//   if (auto runs = book.RunsToStop(step, worker)) { book.Stop(*runs, worker);
+//   preemption_planner planner(state, records);
+//   if (auto runs = planner.RunsToPreempt(step, worker)) {
+//     planner.Preempt(*runs, worker);
 //   }
 //
-// The load it answers: an urgent burst, or a task that needs a worker whole,
-// while later queues hold all room. Without it the earlier queue waits for as
-// long as the later one's tasks run.
+// Lower-priority queues may hold all capacity when an urgent burst arrives, or
+// a task that needs a whole worker. Without preemption the higher-priority
+// queue waits for as long as the other queues' tasks run.
 //
-// What gives way: runs of a later queue that save checkpoints (a stop saves
-// one, so only the restart is lost), no gang's, nothing that lasts, and no task
-// more than kMostYields times, so that nothing is put off for ever.
+// Only runs of a lower-priority queue that save checkpoints are preempted: a
+// stop saves a checkpoint, so only the restart is lost. Gang members and
+// long-running tasks are never preempted, and no task is preempted more than
+// kMaxPreemptions times, so that none starves.
 //
-// Pure; one plan's. Cost: the runs at each worker once, then what may give way
-// there: to look up each run anew for each step and worker took most of a plan
-// at 350 workers.
+// Pure; one object per plan. Cost: the runs at each worker once, then the
+// candidates there. Looking up each run anew for each step and worker took most
+// of a plan at 350 workers.
 
 #include <cstdint>
 #include <map>
@@ -27,7 +30,7 @@
 
 namespace oriolewalk::flow {
 
-// How often a task has given way, and whether it is doing so now.
+// How often a task was preempted, and whether a preemption is in progress.
 struct preemption_record
 {
   int mCount = 0;
@@ -40,12 +43,14 @@
 public:
   preemption_planner(const flow_state& aState, preemption_records aYields);
 
-  // None, if enough may not be stopped there; empty, if nothing need be.
+  // Returns nullopt if not enough runs may be preempted there, and an empty
+  // list if none needs to be.
   std::optional<std::vector<run_ref>> RunsToPreempt(const open_step& aStep,
                                                     const plan_worker& aWorker);
-  // They give way: their room counts as leaving, and nobody else gets it.
+  // Marks the runs as preempted: their resources count as being freed, and no
+  // other step gets them.
   void Preempt(const std::vector<run_ref>& aRuns, plan_worker& aWorker);
-  // Takes that back.
+  // Undoes Preempt for one run.
   void CancelPreemption(const run_ref& aRun, plan_worker& aWorker);
 
 private:
@@ -56,10 +61,10 @@
     cell::resources mSize;
   };
 
-  // Those at the worker that may give way to anybody, the last queue's first,
-  // then the largest: fewest restarts.
+  // The runs at the worker that may be preempted: those of the lowest priority
+  // first, then the largest ones, which means fewest restarts.
   const std::vector<candidate>& CandidatesAt(worker_number aWorker);
-  // Whether any queue of the step's service comes after its own.
+  // Whether the queue's service has a queue of lower priority.
   bool HasLaterQueue(const queue_row& aQueue);
   [[nodiscard]] bool MayYield(const task_ref& aTask) const;
 
--- a/oriolewalk/flow/relay_assignment.cc
+++ b/oriolewalk/flow/relay_assignment.cc
@@ -8,14 +8,14 @@
 
 namespace {
 
-// With four connections each (a look that waits, starts and stops beside it) a
-// quarter of the 4,096 descriptors that a process commonly has.
+// Four connections per worker (a long poll, and starts and stops beside it)
+// take a quarter of the 4,096 descriptors that a process commonly has.
 constexpr std::size_t kWorkersEach = 250;
-// Longer than a restart, and half of a lease: its workers' looks go elsewhere
-// meanwhile and it is tried again afterwards.
+// Longer than a restart, and half of a lease. Until then the polls of the
+// relay's workers go elsewhere; afterwards it is tried again.
 constexpr milliseconds kAside{ 2'000 };
 
-// Rendezvous hashing: when a carrier goes, only its own workers move.
+// Rendezvous hashing: when a relay fails, only its own workers move.
 std::uint64_t
 Weight(const std::string& aAddress, worker_number aWorker)
 {
--- a/oriolewalk/flow/relay_assignment.h
+++ b/oriolewalk/flow/relay_assignment.h
@@ -1,20 +1,21 @@
 #pragma once
 
-// Which control process carries the leader's orders to which worker.
+// Assigns each worker to the control process that relays the leader's orders to
+// it.
 //
-//   carrier_choice carriers(options.mWorkersAlone);
-//   carriers.Update({ "10.0.0.2:7720", "10.0.0.3:7720" }, workers, now);
-//   carriers.For(worker);              // its RPC address; empty: the leader
-//   carriers.Failed("10.0.0.2:7720", now);
+//   relay_assignment relays(options.mMaxWorkersWithoutRelays);
+//   relays.Update({ "10.0.0.2:7720", "10.0.0.3:7720" }, workers, now);
+//   relays.RelayFor(worker);           // its RPC address; empty: the leader
+//   relays.OnRelayFailure("10.0.0.2:7720", now);
 //
-// The load it answers: each worker at work holds a look open and takes a start
-// or lists an end every second, so that connections, HTTP and JSON grow with
-// the workers, all at one process. At 1,100 workers the leader held 5,900
-// descriptors and answered 1 worker call in 3 too late. A carrier decides
-// nothing: each order has the leader's fence and an absolute lease, so one that
-// is late, lost or of an earlier leader does no harm.
+// Each busy worker holds a long poll open and takes a start or lists an end
+// every second, so connections, HTTP and JSON grow with the workers, all at one
+// process. At 1,100 workers a leader without relays held 5,900 descriptors and
+// answered 1 worker call in 3 too late. A relay makes no decisions: each order
+// has the leader's fence and an absolute lease, so an order that is late, lost
+// or from an earlier leader does no harm.
 //
-// Pure; owned by the leading part of the flow core, the control thread only.
+// Pure; owned by leader_core; control thread only.
 
 #include <cstddef>
 #include <map>
@@ -29,20 +30,21 @@
 class relay_assignment
 {
 public:
-  // aAlone: up to so many workers the leader makes all calls itself.
+  // aMaxWithoutRelays: up to this many workers the leader makes all calls
+  // itself.
   explicit relay_assignment(std::size_t aAlone)
     : mAlone(aAlone)
   {
   }
-  // aOthers: control processes that are heard now, those first that have least
-  // other work. Cost: their number times itself; the workers only if the
-  // carriers change.
+  // aOthers: the live control processes except the leader, those with the least
+  // other work first. Cost: quadratic in their number.
   void Update(const std::vector<std::string>& aOthers,
               std::size_t aWorkers,
               time_point aNow);
-  // Stays the same while its carrier does: a worker's connections are kept.
+  // Stays the same while the relay is in use, so that a worker's connections
+  // are kept.
   [[nodiscard]] const std::string& RelayFor(worker_number aWorker) const;
-  // Its orders could not be handed over: it carries nothing for a while.
+  // Orders could not be handed to the relay: it gets none for a while.
   void OnRelayFailure(const std::string& aAddress, time_point aNow);
   [[nodiscard]] const std::vector<std::string>& Relays() const
   {
--- a/oriolewalk/flow/straggler_detector.cc
+++ b/oriolewalk/flow/straggler_detector.cc
@@ -8,12 +8,13 @@
 
 namespace {
 
-// Only what stands still, or nearly so. A factor of 2.2 and 400 ms took back
-// tasks that were merely long: served share of three days with trouble 0.975,
-// 0.971 and 0.921 instead of 0.977, 0.977 and 0.942 without any taking back.
+// Only runs that have stalled, or nearly so, are stopped. A factor of 2.2 and
+// 400 ms stopped tasks that were merely long: the served share of three
+// scenarios with faults was 0.975, 0.971 and 0.921 instead of 0.977, 0.977 and
+// 0.942 without any stops.
 constexpr double kFactor = 4;
 constexpr double kAddedMs = 1'500;
-// A task that was taken back twice is slow by itself.
+// A task that was stopped twice is slow by itself.
 constexpr int kMostTakenBack = 2;
 
 step_ref
--- a/oriolewalk/flow/straggler_detector.h
+++ b/oriolewalk/flow/straggler_detector.h
@@ -1,18 +1,17 @@
 #pragma once
 
-// Which runs should be taken back, because their siblings show that they take
-// far too long where they are.
+// Detects runs that take far longer than their siblings, so that they can be
+// stopped and rescheduled.
 //
-//   straggler_watch watch;
-//   watch.Began(run, worker, now);
-//   watch.Ended(run, run_outcome::Done, now);
-//   for (const auto& late : watch.Find(step, placed, now)) { /* stop it */ }
+//   straggler_detector detector;
+//   detector.OnRunStarted(run, now);
+//   detector.OnRunEnded(sibling, run_outcome::Done, now);
+//   if (detector.MarkIfStraggler(run, now)) { /* stop it */ }
 //
-// The load it answers: a worker that has turned slow by a factor of six, or on
-// which tasks stand still. Without this a step waits for its slowest task, and
-// the job is late though all the rest was in time. A stop loses what the run
-// has done since its last checkpoint, so only clear cases are taken, and each
-// task only so often.
+// A worker may slow down by a factor of six, or tasks may stall on it. Without
+// detection a step waits for its slowest task, and the job is late although all
+// the rest was in time. A stopped run loses its work since the last checkpoint,
+// so only clear cases are stopped, and each task at most kMaxStops times.
 //
 // Soft state of the leader. Pure; no clock. Cost of a call: logarithmic in the
 // runs that are watched.
@@ -31,13 +30,14 @@
 {
 public:
   void OnRunStarted(const run_ref& aRun, time_point aNow);
-  // How long it took against the step's finished tasks; none for the first
-  // one, and for runs that were begun by an earlier leader.
+  // Returns the run's duration relative to the mean of the step's finished
+  // tasks. Returns nullopt for the step's first one, for runs that an earlier
+  // leader started, and for any other outcome than Done.
   std::optional<double> OnRunEnded(const run_ref& aRun,
                                    run_outcome aOutcome,
                                    time_point aNow);
-  // Whether the run has taken so long that it should be taken back. Counts it
-  // as taken back if so.
+  // Whether the run has taken so long that it should be stopped and
+  // rescheduled. If so, the stop counts towards the task's limit.
   bool MarkIfStraggler(const run_ref& aRun, time_point aNow);
   void Forget(const job_id& aJob);
 
--- a/oriolewalk/flow/suspect_isolation.cc
+++ b/oriolewalk/flow/suspect_isolation.cc
@@ -9,14 +9,16 @@
 
 namespace {
 
-// Suspects that start at a time, of a job with a prime suspect.
+// Suspects of one job that may run at a time if one of them is under high
+// suspicion.
 constexpr std::uint32_t kMostOfPrimeJob = 1;
-// Crashes and losses after which a task waits until more is known of the
-// losses: for a while, or, with so many that one more start may be one too
-// many, until then.
+// Crashes and losses after which a task waits until it is known whether the
+// lost workers crashed. From kDelayedAfter on it waits for a bounded time; from
+// kBlockedAfter on, when one more start may be one too many, until it is known.
 constexpr std::uint32_t kWaitsAfter = 3;
 constexpr std::uint32_t kHeldAfter = 5;
-// Most workers that crash are back, and known to have crashed, by then.
+// Most workers that crash are back, and known to have crashed, within this
+// time.
 constexpr milliseconds kLossWait{ 6'000 };
 
 } // namespace
@@ -84,7 +86,7 @@
   if (away < kWaitsAfter) {
     return false;
   }
-  // An earlier leader gave it up: it waits from now on.
+  // If an earlier leader recorded the loss, the wait begins now.
   const time_point lostAt = mLostAt.try_emplace(aTask, aNow).first->second;
   return away >= kHeldAfter || aNow < lostAt + kLossWait;
 }
--- a/oriolewalk/flow/suspect_isolation.h
+++ b/oriolewalk/flow/suspect_isolation.h
@@ -1,22 +1,23 @@
 #pragma once
 
-// How tasks that may have crashed their workers start again. A suspect
-// starts at once, apart from others where there is room; a prime suspect alone:
-// nothing else starts beside it meanwhile, and of its job one suspect at a
-// time. And a task waits while it isn't known whether the workers that it was
-// lost with have crashed, if they are many.
+// Decides how tasks that may have crashed their workers start again. A suspect
+// starts at once, on a worker without other suspects if one has free capacity.
+// A task under high suspicion starts alone: nothing else starts beside it until
+// it has run for a while, and only one suspect of its job runs at a time. A
+// task that was lost with several workers waits while it isn't known whether
+// those workers crashed.
 //
-//   probation watch;
-//   watch.Lost(runs, now);
-//   suspicions known = watch.Find(state, proposed, isFresh, now);
-//   // known.MostOf(state, job), known.mHeld, known.mAt
+//   suspect_isolation isolation;
+//   isolation.OnRunsLost(runs, now);
+//   suspect_summary known = isolation.Summarize(state, proposed, isFresh, now);
+//   // known.MaxStarts(crashes, job), known.mBlocked, known.mByWorker
 //
-// The load it answers: a task that crashes each worker that starts it, and
-// takes the tasks there with it. Started again side by side they crash
-// together, and nobody can tell which of them is the cause; started at once, a
-// step whose tasks all do so takes every worker away.
+// A task may crash each worker that starts it, and with the worker the other
+// tasks there. Suspects that start again side by side crash together, and the
+// cause can't be determined. If they start again at once, a step whose tasks
+// all crash their workers takes every worker away.
 //
-// Soft state of the leader. Pure; no clock. Cost: the suspects.
+// Soft state of the leader. Pure; no clock. Cost: linear in the suspects.
 
 #include <cstdint>
 #include <functional>
@@ -40,12 +41,12 @@
   void Remove(suspicion aOne);
 };
 
-// What one plan knows of suspects.
+// The suspects as one plan sees them.
 struct suspect_summary
 {
-  std::set<task_ref> mBlocked; // not to be started now
+  std::set<task_ref> mBlocked; // must not start now
   std::map<worker_number, worker_suspects> mByWorker;
-  std::map<job_id, std::uint32_t> mRunningByJob; // of those in mAt
+  std::map<job_id, std::uint32_t> mRunningByJob; // of those in mByWorker
 
   // How many more suspects of the job may start now.
   [[nodiscard]] std::uint32_t MaxStarts(const crash_tracker& aBook,
@@ -59,10 +60,10 @@
   using newly_started_predicate =
     std::function<bool(worker_number aWorker, const run_ref& aRun)>;
 
-  // They were given up with a worker that can't be reached.
+  // The runs were abandoned with a worker that is unreachable.
   void OnRunsLost(std::span<const run_ref> aRuns, time_point aNow);
   void Forget(const job_id& aJob);
-  // aProposed: starts that are not yet applied, and where.
+  // aProposed: starts that are not yet applied, and their workers.
   suspect_summary Summarize(const flow_state& aState,
                             const std::map<task_ref, worker_number>& aProposed,
                             const newly_started_predicate& aIsFresh,
--- a/oriolewalk/flow/whole_ms.h
+++ b/oriolewalk/flow/whole_ms.h
@@ -1,8 +1,6 @@
 #pragma once
 
-// Spans as workers, the policy service and logs get them.
-//
-//   order.mLeaseClockMs = view.mClockMs + ToMs(age);
+// Converts durations to the unit that workers, the policy service and logs use.
 
 #include <chrono>
 #include <cstdint>
--- a/oriolewalk/flow/worker_health.cc
+++ b/oriolewalk/flow/worker_health.cc
@@ -6,16 +6,17 @@
 
 namespace {
 
-// One in twenty tasks fails by its own fault; two in a row on one worker by
-// chance is one in four hundred.
+// One in twenty tasks fails by its own fault; two in a row on one worker happen
+// by chance once in four hundred times.
 constexpr int kFailuresInRow = 2;
-// Then it is left alone for this long; each further failure in a row doubles
-// it, up to the bound. Faults of workers last for several seconds.
+// How long a failing worker is avoided. Each further failure in a row doubles
+// the time, up to kMaxDoublings times. Faults of workers last for several
+// seconds.
 constexpr milliseconds kFirstPause{ 1'500 };
 constexpr int kMostDoublings = 2;
-// A task that stands still says that the worker does.
+// A stalled task indicates that its worker has stalled.
 constexpr milliseconds kStalledPause{ 4'000 };
-// About five ends decide.
+// Weight of one sample in a moving average over about five ends.
 constexpr double kLearning = 0.2;
 constexpr double kLeastSpeed = 0.2;
 constexpr double kMostSpeed = 2;
--- a/oriolewalk/flow/worker_health.h
+++ b/oriolewalk/flow/worker_health.h
@@ -1,19 +1,19 @@
 #pragma once
 
-// What the leader learns of workers from what ends there: who fails what others
-// finish, and who is slow.
+// Tracks the health of workers by the runs that end there: which workers fail
+// tasks that succeed elsewhere, and which are slow.
 //
 //   worker_health health;
-//   health.Ended(worker, run_outcome::Failed, now);
-//   health.Took(worker, took / siblings, now);
-//   if (health.IsAvoided(worker, now)) { ... }
+//   health.OnRunEnded(worker, run_outcome::Failed, now);
+//   health.OnTaskTime(worker, took / siblings);
+//   if (health.Standing(worker, now).mAvoided) { ... }
 //
-// The load it answers: a few workers that fail all they start at once, and so
-// look free and fast, while a task has only two or three attempts. Without this
-// they draw the retries as well, and jobs that could be done end as failed.
+// A few workers may fail every task at once, and so look free and fast, while a
+// task has only two or three attempts. If they weren't avoided they would
+// attract the retries as well, and jobs that could succeed would fail.
 //
-// Bounded: a worker is avoided for a while only, so that one that recovers is
-// tried again; and whoever plans must not avoid more than a share of all.
+// A worker is avoided for a limited time only, so that one that recovers is
+// tried again. The caller must not avoid more than a share of all workers.
 //
 // Soft state of the leader. Pure; no clock.
 
@@ -27,7 +27,7 @@
 
 struct worker_standing
 {
-  double mSpeed = 1; // 1 is like its peers, above is faster; in [0.2, 2]
+  double mSpeed = 1; // relative to its peers, above 1 is faster; in [0.2, 2]
   bool mAvoided = false;
 };
 
@@ -35,9 +35,9 @@
 {
 public:
   void OnRunEnded(worker_number aWorker, run_outcome aOutcome, time_point aNow);
-  // aRatio: how long a task took there against its finished siblings elsewhere.
+  // aRatio: a task's duration there, relative to its finished siblings.
   void OnTaskTime(worker_number aWorker, double aRatio);
-  // A run stands still there, or is far slower than its siblings.
+  // A run there has stalled, or is far slower than its siblings.
   void OnStall(worker_number aWorker, time_point aNow);
   void Forget(worker_number aWorker) { mWorkers.erase(aWorker); }
 
