--- a/testing/flow/group_test.cc
+++ b/testing/flow/group_test.cc
@@ -54,9 +54,9 @@
 
 TEST_CASE("a killed leader's work goes on and nothing starts twice")
 {
-  // The leader dies while tasks run, starts are on their way and ends are
-  // listed. The next one takes over what runs, and starts again only what
-  // can't have been started.
+  // The leader dies while tasks run, starts are in transit and ends are listed.
+  // The next leader takes over what runs, and starts again only what can't have
+  // started.
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     group_scene scene(seed);
@@ -73,7 +73,7 @@
   }
 }
 
-TEST_CASE("a paused leader that wakes can't act")
+TEST_CASE("a leader that resumes after a long pause can't act")
 {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
@@ -88,11 +88,11 @@
   }
 }
 
-TEST_CASE("a new leader takes nobody out whom it hasn't heard yet")
+TEST_CASE("a new leader removes no member that it hasn't heard yet")
 {
-  // All processes lose power and come back together. The first one to lead
-  // has heard nobody: a member that answers a moment later must not be taken
-  // out or replaced as one that is silent for long.
+  // All processes lose power and come back together. The first leader has heard
+  // no other process: a member that answers a moment later must not be removed
+  // or replaced as if it had been silent for long.
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     fake_group group(5, 3, seed);
@@ -114,7 +114,7 @@
     }
     REQUIRE(group.RunUntil([&]() { return group.Leader().has_value(); },
                            seconds(10)));
-    // The last one is a second later than the new leader.
+    // The last process starts a second after the new leader was elected.
     group.Run(seconds(1));
     CHECK(group.Count("member.removed") == 0);
     group.Restart(kLast);
@@ -124,11 +124,11 @@
   }
 }
 
-TEST_CASE("spares stand by, and take the place of a voter that is silent")
+TEST_CASE("a spare replaces a voter that is silent")
 {
-  // One loss is to be borne: three of five vote. When a voter dies a spare
-  // becomes one, so that the next loss is borne as well; the dead one comes
-  // back and stands by.
+  // One loss must be tolerated: three of five processes vote. When a voter dies
+  // a spare becomes a voter, so that the next loss is tolerated as well; the
+  // dead process comes back as a spare.
   constexpr std::size_t kVoters = 3;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
@@ -151,7 +151,7 @@
             .Raft()
             .Members()
             .Find(consensus::node_id(lost + 1)) == nullptr);
-    // Each time another one: no loss is one too many.
+    // Another voter is lost each time, and each loss is tolerated.
     group.Kill(*group.Leader());
     group.Run(seconds(6));
     group.Restart(lost);
@@ -164,16 +164,16 @@
   }
 }
 
-TEST_CASE("as many vote as the losses that must be borne ask for")
+TEST_CASE("the number of voters follows from the losses to tolerate")
 {
   CHECK(MaxVoters(1, false) == 3);
   CHECK(MaxVoters(2, false) == 5);
   CHECK(MaxVoters(9, false) == 9);
-  CHECK(MaxVoters(0, false) == 9); // nothing is said
-  CHECK(MaxVoters(1, true) == 9);  // a data centre may go
+  CHECK(MaxVoters(0, false) == 9); // not configured
+  CHECK(MaxVoters(1, true) == 9);  // a data centre may be lost
 }
 
-TEST_CASE("a wiped voter comes back as one that counts")
+TEST_CASE("a voter that lost its data becomes a full voter again")
 {
   group_scene scene(4);
   const std::size_t leader = *scene.mGroup.Leader();
@@ -183,18 +183,18 @@
   scene.mGroup.Run(seconds(1));
   scene.mGroup.Restart(lost);
   scene.mGroup.Run(seconds(5));
-  // With its vote and data back, the loss of another one is borne.
+  // With its vote and data restored, the loss of another voter is tolerated.
   scene.mGroup.Kill(other);
   scene.mGroup.Submit(kJob, { Step(2, 1'000) });
   CHECK(scene.EndsAs("done", seconds(10)));
 }
 
-TEST_CASE("a disk lost while all other instances lose power loses nothing")
+TEST_CASE("no job is lost if a disk is lost while all others lose power")
 {
   // Right after a job was accepted one voter loses its disk, and at the same
-  // moment all others lose power, spares as well: what they hadn't synced is
-  // gone, and so is all that they only remembered. In every second day a spare
-  // has taken a voter's place before.
+  // moment all other processes, including spares, lose power: what they hadn't
+  // synced or held only in memory is gone. For even seeds a spare has replaced
+  // a voter before.
   constexpr std::size_t kNodes = 5;
   constexpr std::size_t kVoters = 3;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -270,7 +270,7 @@
   }
 }
 
-TEST_CASE("a crashed worker's next life gets the work")
+TEST_CASE("a crashed worker's next incarnation gets the work")
 {
   group_scene scene(6, 1);
   scene.mGroup.Worker(0).mWorkTime = seconds(2);
@@ -284,8 +284,8 @@
 
 TEST_CASE("work starts again soon after a leader is lost")
 {
-  // Callers go on handing in jobs; the leader is killed. Measured in made time
-  // from its loss to the first start by the next one.
+  // Callers keep submitting jobs while the leader is killed. Each gap is the
+  // simulated time from its loss to the first start by the next leader.
   constexpr std::uint64_t kSeeds = 200;
   std::vector<std::int64_t> gaps;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
--- a/testing/flow/interference_control_test.cc
+++ b/testing/flow/interference_control_test.cc
@@ -26,22 +26,22 @@
 
 } // namespace
 
-TEST_CASE("filling work gives way to a serving task that is harmed")
+TEST_CASE("best-effort work slows down if it harms a latency-sensitive task")
 {
   interference_control control;
   auto changes = control.Decide(1, Beside(90, 100), kStart);
   REQUIRE(changes.size() == 1);
   CHECK(changes[0].mRun.mTask.mJob == kFills);
   CHECK(changes[0].mPercent == 50);
-  // The figures still show the time before the change.
+  // The figures are still from before the change.
   CHECK(control.Decide(1, Beside(90, 50), kStart + milliseconds(100)).empty());
-  // Well over the target: at once, and to nothing.
+  // A tail latency well over the target stops the work at once.
   changes = control.Decide(1, Beside(130, 50), kStart + milliseconds(200));
   REQUIRE(changes.size() == 1);
   CHECK(changes[0].mPercent == 0);
 }
 
-TEST_CASE("filling work comes back in steps while there is no harm")
+TEST_CASE("best-effort work speeds up in steps while it does no harm")
 {
   interference_control control;
   int percent = 0;
@@ -58,10 +58,11 @@
   CHECK(control.Decide(1, Beside(75, 50), kStart + seconds(62)).empty());
 }
 
-TEST_CASE("a loop with noise and delay keeps the tail under its target")
+TEST_CASE("with noise and delay the tail latency stays under its target")
 {
-  // The tail is 50 ms, and 120 ms more at full pace of what fills; the figure
-  // is rough and a look old. Held for 4 s on end over the target is harm.
+  // The tail latency is 50 ms, plus 120 ms at full pace of the best-effort
+  // work; the figure is noisy and one poll old. Being over the target for 4 s
+  // in a row counts as harm.
   interference_control control;
   random_source random(7);
   int percent = 100;
@@ -83,7 +84,7 @@
     worked += percent;
   }
   CHECK(longest <= 3);
-  CHECK(worked > kLooks * 10); // and what fills isn't held down for good
+  CHECK(worked > kLooks * 10); // best-effort work progresses
 }
 
 } // namespace oriolewalk::flow
--- a/testing/flow/plan_timer_test.cc
+++ b/testing/flow/plan_timer_test.cc
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("what comes first is planned soon, the rest by the cell's size")
+TEST_CASE("top-priority steps are planned sooner than all steps")
 {
   plan_timer pace;
   TickEvery(pace, milliseconds(10), kStart);
@@ -37,10 +37,11 @@
   CHECK(pace.DueScope(kWorkers, kStart + milliseconds(47)) == plan_scope::All);
 }
 
-TEST_CASE("a process whose ticks come late plans less often")
+TEST_CASE("a process whose ticks are late plans less often")
 {
-  // Its processor is full: answers of workers, commits and callers wait. Plans
-  // as often as before would take what is left, and each would find more to do.
+  // The processor is saturated: answers of workers, commits and callers wait.
+  // Planning as often as before would use up the remaining time, and each plan
+  // would have more to do.
   plan_timer pace;
   TickEvery(pace, milliseconds(35), kStart);
   pace.OnPlanned(plan_scope::All, 0, kStart);
--- a/testing/flow/relay_assignment_test.cc
+++ b/testing/flow/relay_assignment_test.cc
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("a small cell's leader makes all calls itself")
+TEST_CASE("the leader of a small cell makes all calls itself")
 {
   relay_assignment choice(400);
   choice.Update(kOthers, 350, kStart);
@@ -43,10 +43,10 @@
   CHECK(choice.RelayFor(1).empty());
 }
 
-TEST_CASE("a large cell's workers are shared evenly")
+TEST_CASE("the workers of a large cell are spread evenly over relays")
 {
-  // All by one process: it holds five descriptors for each of 1,100 workers,
-  // more than it has, and its disk is refused one.
+  // A process that called all 1,100 workers would need five descriptors for
+  // each of them, more than its limit, and could open no file on its disk.
   relay_assignment choice(400);
   choice.Update(kOthers, 1'100, kStart);
   const auto shares = Shares(choice, 1'100);
@@ -57,10 +57,10 @@
   }
 }
 
-TEST_CASE("only a lost carrier's workers move, and come back after a while")
+TEST_CASE("only a failed relay's workers move, and they return after a while")
 {
-  // A control process dies. Were all workers dealt anew, 1,100 looks would be
-  // sent again at once, over as many new connections.
+  // A control process dies. If all workers were reassigned, 1,100 polls would
+  // be sent again at once, over as many new connections.
   relay_assignment before(400);
   before.Update(kOthers, 1'100, kStart);
   relay_assignment choice = before;
--- a/testing/flow/worker_health_test.cc
+++ b/testing/flow/worker_health_test.cc
@@ -14,18 +14,19 @@
 
 } // namespace
 
-TEST_CASE("a worker that fails what it starts is left alone for a while")
+TEST_CASE("a worker that fails its tasks is avoided for a while")
 {
-  // It fails everything at once, looks free, and would draw every retry.
+  // A worker that fails everything at once looks free and would attract every
+  // retry.
   worker_health health;
   health.OnRunEnded(1, run_outcome::Failed, kStart);
   CHECK_FALSE(
-    health.Standing(1, kStart).mAvoided); // tasks fail by themselves too
+    health.Standing(1, kStart).mAvoided); // it may be the task's own fault
   health.OnRunEnded(1, run_outcome::Failed, kStart);
   CHECK(health.Standing(1, kStart).mAvoided);
   CHECK_FALSE(health.Standing(2, kStart).mAvoided);
   CHECK_FALSE(health.Standing(1, kStart + seconds(10)).mAvoided);
-  // Tried again and still bad: at once, and for longer.
+  // It fails again when it is tried again: avoided at once, and for longer.
   health.OnRunEnded(1, run_outcome::Failed, kStart + seconds(10));
   CHECK(health.Standing(1, kStart + seconds(12)).mAvoided);
   health.OnRunEnded(1, run_outcome::Done, kStart + seconds(20));
@@ -33,7 +34,7 @@
   CHECK_FALSE(health.Standing(1, kStart + seconds(21)).mAvoided);
 }
 
-TEST_CASE("speed is learnt within bounds")
+TEST_CASE("the estimated speed of a worker stays within bounds")
 {
   worker_health health;
   for (int end = 0; end < 50; ++end) {
@@ -45,10 +46,10 @@
   CHECK(health.Standing(3, kStart).mSpeed == 1);
 }
 
-TEST_CASE("a run far behind its siblings is taken back, and only so often")
+TEST_CASE("a run far behind its siblings is stopped, at most twice per task")
 {
-  // Tasks stand still on one worker while their siblings are done long ago:
-  // the step, and the job's caller, would wait for them.
+  // Tasks stall on one worker although their siblings ended long ago: the step,
+  // and the job's caller, would wait for them.
   straggler_detector watch;
   const job_id job("00");
   const run_ref quick = state_builder::Run(job, 1, 0);
@@ -56,7 +57,7 @@
   watch.OnRunStarted(quick, kStart);
   watch.OnRunStarted(slow, kStart);
   CHECK_FALSE(
-    watch.MarkIfStraggler(slow, kStart + seconds(60))); // no sibling yet
+    watch.MarkIfStraggler(slow, kStart + seconds(60))); // no sibling ended
   CHECK_FALSE(watch.OnRunEnded(quick, run_outcome::Done, kStart + seconds(1)));
   CHECK_FALSE(watch.MarkIfStraggler(slow, kStart + seconds(4)));
   CHECK(watch.MarkIfStraggler(slow, kStart + seconds(6)));
@@ -67,7 +68,7 @@
   }
 }
 
-TEST_CASE("how long a run took is compared with its siblings")
+TEST_CASE("a run's duration is compared with its siblings'")
 {
   straggler_detector watch;
   const job_id job("00");
