--- a/bench/flow_bench.cc
+++ b/bench/flow_bench.cc
@@ -1,7 +1,7 @@
-// oriole-bench flow: seeded arrivals of jobs of several steps on simulated
-// workers, under the product's policy, with each of its mechanisms switched
-// off, and under plain baselines. Times are simulated; only the processor time
-// of the decisions is measured on this machine.
+// oriole-bench flow: plays seeded arrivals of jobs of several steps on
+// simulated workers, under the product's policy, with each of its mechanisms
+// switched off, and under plain baselines. Times are simulated; only the
+// processor time of the decisions is measured on this machine.
 
 #include <algorithm>
 #include <array>
@@ -166,7 +166,8 @@
   for (const named_policy& policy : Policies()) {
     PlayScene(aReport, scenes.front(), policy);
   }
-  // The larger ones under the product's own policy: what decisions cost there.
+  // The larger scenarios use only the product's policy, to show what decisions
+  // cost there.
   for (const flow_scene& larger : scenes | std::views::drop(1)) {
     PlayScene(aReport, larger, Policies().front());
   }
--- a/bench/flow_driver.cc
+++ b/bench/flow_driver.cc
@@ -26,7 +26,8 @@
 constexpr milliseconds kWay{ 1 };
 constexpr milliseconds kTick{ 5 };
 constexpr milliseconds kBeat{ 1'500 };
-// After the last arrival: what is not done by then never is.
+// Time after the last arrival; a job that isn't done by then counts as never
+// done.
 constexpr seconds kAfterwards{ 30 };
 constexpr milliseconds kCancelAfter{ 1'000 };
 constexpr milliseconds kNextLeader{ 1'000 };
@@ -76,7 +77,7 @@
   struct event
   {
     time_point mAt{};
-    std::uint64_t mNumber = 0; // those of one moment in the order they came
+    std::uint64_t mNumber = 0; // orders simultaneous events
     std::function<void()> mDo;
 
     bool operator<(const event& aOther) const
@@ -157,7 +158,7 @@
     }
   }
 
-  // All that a leader has not committed is lost with it.
+  // Whatever a leader has not committed is lost with it.
   void LoseLeader()
   {
     mLead.reset();
@@ -209,7 +210,7 @@
     }
   }
 
-  // Asks the leader; what is asked while nobody leads comes again.
+  // Sends a request to the leader; without a leader it is repeated later.
   void Ask(const flow::flow_request& aRequest)
   {
     if (mLead) {
@@ -362,7 +363,7 @@
     At(mNow + aWait, [this, &aLife]() { EndLook(aLife); });
   }
 
-  // Answers the look that waits, if something ended or its time is over.
+  // Answers the open poll if a run has ended or the poll's time is over.
   void EndLook(life& aLife)
   {
     if (aLife.mGone || !aLife.mLook) {
@@ -404,7 +405,7 @@
     mBegunAt.try_emplace(aTask.mJob, mNow);
   }
 
-  // The objective by the work that it really was.
+  // The objective, based on the actual work instead of the estimate.
   [[nodiscard]] double ObjectiveMs(const arrival& aJob) const
   {
     const flow::queue_row& queue = mLoad.mScene.mKinds[aJob.mKind].mQueue;
@@ -462,7 +463,7 @@
       queue.mFirstStartMs.push_back(
         ToMs(begun->second - time_point{ aJob.mAt }));
     }
-    // What lasts is judged by its beginning.
+    // Long-running jobs are judged by their first start.
     const auto& ends = kind.mLasting ? mBegunAt : mEndedAt;
     const auto ended = ends.find(aJob.mId);
     if (ended == ends.end()) {
--- a/bench/flow_driver.h
+++ b/bench/flow_driver.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Plays a load against the leading part of the workflow rooms, in made time:
-// workers, the policy service and commits are simulated by a calendar of
-// events; each decision is the product's own.
+// Simulates a load against the leader core of the workflow scheduler, in
+// simulated time: workers, the policy service and commits are events in a
+// queue; each decision is the product's own.
 //
-//   const flow_outcome outcome = PlayLoad(load, policy);
+//   const flow_outcome outcome = SimulateLoad(load, policy);
 //
-// Cost: what the decisions cost; 350 workers and 40 s take a few seconds.
+// Cost: that of the decisions; 350 workers and 40 s take a few seconds.
 
 #include <cstddef>
 #include <cstdint>
@@ -21,14 +21,14 @@
 
 struct queue_outcome
 {
-  std::size_t mJobs = 0; // that could be done and were not cancelled
+  std::size_t mJobs = 0; // feasible and not cancelled
   std::size_t mInTime = 0;
   std::size_t mLate = 0; // up to three times the objective
   std::size_t mNever = 0;
-  // Of the largest tenth by processor time.
+  // Jobs in the largest tenth by processor time.
   std::size_t mLargest = 0;
   std::size_t mLargestInTime = 0;
-  std::vector<double> mFirstStartMs; // from handing in to the first start
+  std::vector<double> mFirstStartMs; // from submission to the first start
 };
 
 struct flow_outcome
@@ -36,9 +36,9 @@
   std::map<std::string, queue_outcome> mQueues;
   std::map<std::string, double> mWaitMs;      // of steps, by cause
   std::map<std::string, std::size_t> mEvents; // log lines, by event
-  double mThrownAwayMs = 0; // processor time of work that was not saved
+  double mThrownAwayMs = 0; // task time of work that no checkpoint saved
   std::size_t mQuestions = 0;
-  double mAdviceMs = 0; // of the policy service's work
+  double mAdviceMs = 0; // the policy service's work
   std::size_t mNamed = 0;
   std::size_t mOverBooked = 0; // starts beyond a worker's capacity
   double mDecisionMs = 0;      // processor time of all decisions, measured
--- a/bench/flow_scenario.cc
+++ b/bench/flow_scenario.cc
@@ -37,12 +37,12 @@
   return row;
 }
 
-// By how much a scene is larger than the smallest one.
+// By how much a scenario is larger than the smallest one.
 struct scene_scale
 {
   double mRate = 1;
   double mWidth = 1;
-  double mAdvice = 1; // what the policy service takes
+  double mAdvice = 1; // duration of a policy query
 };
 
 flow::advice_timing
@@ -137,8 +137,8 @@
   return kind;
 }
 
-// Short urgent steps and wide late ones share workers; on those with
-// accelerators, gangs that need a worker whole run beside small tasks.
+// Short urgent steps and wide low-priority ones share workers; on workers with
+// accelerators, gangs that need a whole worker run beside small tasks.
 std::vector<job_kind>
 Kinds(const scene_scale& aScale)
 {
@@ -170,7 +170,7 @@
   }
 
 private:
-  // Around aMean, at most kMostTimesMean of it.
+  // Draws a value around aMean, at most kMaxTimesMean times aMean.
   double Around(double aMean)
   {
     constexpr double kLow = 0.3;
@@ -252,7 +252,7 @@
       spec.mDependsOn = { aStep - 1 };
     }
     const double work = Around(aKind.mMeanMs);
-    // Callers estimate badly: up to 1.9 times too much or too little.
+    // Callers' estimates are wrong by a factor of up to 1.9 either way.
     constexpr double kEstimate = 1.9;
     spec.mEstimateMs = static_cast<std::int64_t>(
       work * std::pow(kEstimate, 2 * mRandom.Fraction() - 1));
@@ -270,8 +270,9 @@
   std::uint64_t mLast = 0;
 };
 
-// One service alone: short wide steps that are urgent, wide late ones that take
-// half of all room, and standing ones. Bursts ask for more than there is.
+// A single service: short, wide and urgent steps, wide low-priority ones that
+// take half of the capacity, and long-running ones. Bursts need more than the
+// capacity.
 flow_scene
 LargestScene()
 {
--- a/bench/flow_scenario.h
+++ b/bench/flow_scenario.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// What arrives in one scenario of jobs of several steps, and on which workers.
-// A scenario is data: the same seeded arrivals are given to each policy.
+// The arrivals and workers of one scenario of jobs of several steps. A scenario
+// is data: the same seeded arrivals are given to each policy.
 //
-//   const flow_load load = MakeLoad(scene, seed);
-//   const flow_outcome outcome = PlayLoad(load, policy);
+//   const flow_load load = MakeLoad(scenario, seed);
+//   const flow_outcome outcome = SimulateLoad(load, policy);
 
 #include <cstddef>
 #include <cstdint>
@@ -17,8 +17,8 @@
 
 namespace oriolewalk::bench {
 
-// A kind of job: how often it comes and what it asks for. Counts, sizes and
-// times are drawn around their means.
+// A kind of job: its arrival rate and its requirements. Counts, sizes and times
+// are drawn around their means.
 struct job_kind
 {
   flow::queue_row mQueue;
@@ -29,12 +29,12 @@
   std::int64_t mMilliProcessors = 1'000;
   std::int64_t mMemoryMb = 1'000;
   std::vector<std::int64_t> mAccelerators; // one of these; empty: none
-  double mSaves = 0;                       // the share that keeps checkpoints
-  double mApproved = 1;                    // the share of workers allowed
-  double mFails = 0;                       // of runs, by their own fault
+  double mSaves = 0;    // share of steps that save checkpoints
+  double mApproved = 1; // share of workers approved
+  double mFails = 0;    // share of runs, by their own fault
   bool mGang = false;
   bool mLasting = false;
-  double mBurst = 1; // times as many between kBurstFrom and kBurstTo
+  double mBurst = 1; // rate factor from kBurstFrom to kBurstTo
 };
 
 struct worker_kind
@@ -53,11 +53,11 @@
   std::vector<job_kind> mKinds;
   std::vector<worker_kind> mWorkers;
   std::size_t mAdvisors = 12;
-  double mSlowShare = 0; // of the workers, six times slower from kSlowFrom on
-  double mLostShare = 0; // of the workers, gone at kLostAt
-  double mHopeless = 0;  // of the jobs: a size that no worker has
-  double mCancelled = 0; // of the jobs, a second after they were accepted
-  bool mLeaderLost = false; // at kLeaderLostAt: another one leads, a second on
+  double mSlowShare = 0;    // of the workers, six times slower for a while
+  double mLostShare = 0;    // of the workers, gone at kLostAt
+  double mHopeless = 0;     // of the jobs: larger than any worker
+  double mCancelled = 0;    // of the jobs, a second after they were accepted
+  bool mLeaderLost = false; // at kLeaderLostAt; the next one leads 1 s later
 };
 
 constexpr seconds kPlayed{ 40 };
@@ -87,15 +87,15 @@
   std::vector<arrival> mArrivals; // by time
 };
 
-// The scenes that are played, the smaller one first.
+// The scenarios, the smallest one first.
 std::vector<flow_scene>
 FlowScenes();
 
 flow_load
 MakeLoad(const flow_scene& aScene, std::uint64_t aSeed);
 
-// A number in [0, 1) that depends on the words alone: who is approved, and
-// which run fails, must be the same under every policy.
+// A number in [0, 1) that depends on its arguments alone: which workers are
+// approved, and which runs fail, must be the same under every policy.
 double
 Drawn(std::uint64_t aSeed, std::string_view aWhat, std::string_view aWhere);
 
--- a/bench/flow_worker.cc
+++ b/bench/flow_worker.cc
@@ -13,7 +13,7 @@
 constexpr double kCheckpointMs = 1'000;
 constexpr double kRestoreMs = 600;
 constexpr milliseconds kStopTakes{ 100 };
-// A run that fails does so halfway.
+// A failing run fails halfway.
 constexpr double kFailsAt = 0.5;
 
 double
--- a/bench/flow_worker.h
+++ b/bench/flow_worker.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// A worker in made time for the replay of loads: runs take the work that the
-// load drew, slow spells and checkpoints included.
+// A worker in simulated time for the replay of loads. Runs take the time that
+// the load specifies, including slow periods and checkpoints.
 //
-//   simulated_worker worker(facts, load);
-//   order_answer answer = worker.Handle(order, now);   // none: it waits
+//   simulated_worker worker(description, seed, slowShare);
+//   worker.Start(order, work, now);
 //   worker.Advance(now);
+//   order_answer answer = worker.Listing(now);
 
 #include <cstdint>
 #include <map>
@@ -19,14 +20,14 @@
 
 namespace oriolewalk::bench {
 
-// What a worker needs to know of a task.
+// The properties of a task that the simulated worker needs.
 struct task_work
 {
   double mMs = 0;
   cell::resources mSize;
   bool mSaves = false;
   bool mLasting = false;
-  double mFails = 0; // the share of runs
+  double mFails = 0; // share of runs
 };
 
 class simulated_worker
@@ -36,17 +37,17 @@
                    std::uint64_t aSeed,
                    double aSlowShare);
 
-  // A start, with the task's work; how it was answered.
+  // Starts a run with the given work and returns the result of the order.
   flow::order_result Start(const flow::start_order& aOrder,
                            const task_work& aWork,
                            time_point aNow);
   void Stop(const flow::stop_order& aOrder, time_point aNow);
-  // Ends what is due.
+  // Ends the runs that are due.
   void Advance(time_point aNow);
   void Acknowledge(std::uint64_t aCursor);
   [[nodiscard]] flow::order_answer Listing(time_point aNow) const;
   [[nodiscard]] bool HasEnds() const { return !mEnded.empty(); }
-  // When something ends next; none, if nothing will.
+  // When the next run ends; nullopt if none is running.
   [[nodiscard]] std::optional<time_point> NextEnd() const;
   [[nodiscard]] const flow::worker_description& Facts() const { return mFacts; }
   [[nodiscard]] double ThrownAwayMs() const { return mThrownAwayMs; }
@@ -57,7 +58,7 @@
   {
     task_work mWork;
     time_point mBegan{};
-    double mSavedMs = 0; // done before it began here
+    double mSavedMs = 0; // done before it started here
     time_point mEndsAt{};
     flow::run_outcome mHow = flow::run_outcome::Done;
   };
