--- a/oriolewalk/flow/leader_advice.cc
+++ b/oriolewalk/flow/leader_advice.cc
@@ -17,7 +17,7 @@
 // An advisor whose last query failed is skipped for two heartbeats. It fails at
 // once and would therefore be chosen for the next query again; during planned
 // stops one query in nine was lost this way.
-constexpr milliseconds kAdvisorAside{ 1'000 };
+constexpr milliseconds kAdvisorRetryDelay{ 1'000 };
 // Subtracted from a ticket's validity for the commit and the delivery of the
 // start to the worker.
 constexpr milliseconds kTicketMargin{ 200 };
@@ -33,18 +33,18 @@
 leader_core::FreeAdvisors() const
 {
   std::vector<std::string> all = mPort.mMembers();
-  for (const auto& [address, heard] : mEntries) {
-    if (mAt.mNow < heard + kEntryTimeout) {
+  for (const auto& [address, lastHeard] : mEntries) {
+    if (mAt.mNow < lastHeard + kEntryTimeout) {
       all.push_back(address);
     }
   }
   std::unordered_set<std::string_view> busy;
-  for (const auto& [id, open] : mOpenQuestions) {
+  for (const auto& [id, open] : mOpenQueries) {
     busy.insert(open.mAdvisor);
   }
   std::erase_if(all, [&](const std::string& aAddress) {
-    const auto aside = mAsideUntil.find(aAddress);
-    return (aside != mAsideUntil.end() && mAt.mNow < aside->second) ||
+    const auto skipped = mSkippedUntil.find(aAddress);
+    return (skipped != mSkippedUntil.end() && mAt.mNow < skipped->second) ||
            busy.contains(aAddress);
   });
   // Entries come first because the control processes have other work.
@@ -57,87 +57,86 @@
 {
   advisor_load load;
   load.mFree = FreeAdvisors().size();
-  load.mTotal = load.mFree + mOpenQuestions.size();
-  std::size_t first = 0;
-  for (const auto& [id, open] : mOpenQuestions) {
+  load.mTotal = load.mFree + mOpenQueries.size();
+  std::size_t topPriority = 0;
+  for (const auto& [id, open] : mOpenQueries) {
     ++load.mUsed[open.mQueue];
-    first += open.mFirst ? 1 : 0;
+    topPriority += open.mTopPriority ? 1 : 0;
   }
-  load.mTopPriorityPeak = mFirstPeak.Record(first, mAt.mNow);
+  load.mTopPriorityPeak = mTopPriorityPeak.Record(topPriority, mAt.mNow);
   return load;
 }
 
 void
-leader_core::AskPolicy(const advice_query& aQuestion)
+leader_core::QueryPolicy(const advice_query& aQuery)
 {
   const auto advisors = FreeAdvisors();
-  const job_record* job = mState.FindJob(aQuestion.mStep.mJob);
+  const job_record* job = mState.FindJob(aQuery.mStep.mJob);
   if (advisors.empty() || job == nullptr) {
     return;
   }
   const queue_row& queue = mState.QueueOf(*job);
-  const advice_timing terms = queue.mAdvice.value_or(advice_timing{});
-  open_question open{
-    advisors.front(), aQuestion.mStep,     queue.mName, terms.mValidMs, {},
-    mAt.mNow,         queue.mPriority == 0
-  };
-  advice_call order{ ++mLastQuestion, advisors.front(), {} };
-  order.mRequest.mStep = aQuestion.mStep;
-  for (const worker_number number : aQuestion.mWorkers) {
+  const advice_timing timing = queue.mAdvice.value_or(advice_timing{});
+  open_query open{ advisors.front(),    aQuery.mStep, queue.mName,
+                   timing.mValidMs,     {},           mAt.mNow,
+                   queue.mPriority == 0 };
+  advice_call call{ ++mLastQuery, advisors.front(), {} };
+  call.mRequest.mStep = aQuery.mStep;
+  for (const worker_number number : aQuery.mWorkers) {
     const worker_id& id = mState.FindWorker(number)->mDescription.mId;
-    open.mAsked.emplace_back(number, id);
-    order.mRequest.mWorkers.push_back(id);
+    open.mWorkers.emplace_back(number, id);
+    call.mRequest.mWorkers.push_back(id);
   }
-  const auto named = static_cast<double>(aQuestion.mWorkers.size());
-  constexpr double kHalfMore = 1.5;
-  order.mRequest.mTimeoutMs =
-    static_cast<std::int64_t>(kHalfMore *
-                              (terms.mBaseMs + terms.mPerWorkerMs * named)) +
+  const auto workers = static_cast<double>(aQuery.mWorkers.size());
+  constexpr double kDurationFactor = 1.5;
+  call.mRequest.mTimeoutMs =
+    static_cast<std::int64_t>(
+      kDurationFactor * (timing.mBaseMs + timing.mPerWorkerMs * workers)) +
     kAdviceMarginMs;
-  mAsking.insert(aQuestion.mStep);
-  mNamed[aQuestion.mStep] = aQuestion.mWorkers;
-  mOpenQuestions.emplace(order.mId, std::move(open));
-  mQuestions.push_back(std::move(order));
+  mQueriedSteps.insert(aQuery.mStep);
+  mQueriedWorkers[aQuery.mStep] = aQuery.mWorkers;
+  mOpenQueries.emplace(call.mId, std::move(open));
+  mAdviceCalls.push_back(std::move(call));
 }
 
 void
-leader_core::OnAdviceAnswer(std::uint64_t aOrder,
+leader_core::OnAdviceAnswer(std::uint64_t aQueryId,
                             const result<approvals>& aAnswer)
 {
-  auto open = mOpenQuestions.extract(aOrder);
+  auto open = mOpenQueries.extract(aQueryId);
   if (open.empty()) {
     return;
   }
-  const open_question& asked = open.mapped();
-  mAsking.erase(asked.mStep);
-  mNamed.erase(asked.mStep);
-  mPace.OnChange(asked.mFirst);
+  const open_query& query = open.mapped();
+  mQueriedSteps.erase(query.mStep);
+  mQueriedWorkers.erase(query.mStep);
+  mPlanTimer.OnChange(query.mTopPriority);
   if (!aAnswer) {
-    mAsideUntil[asked.mAdvisor] = mAt.mNow + kAdvisorAside;
+    mSkippedUntil[query.mAdvisor] = mAt.mNow + kAdvisorRetryDelay;
     mPort.mLogDecision({ "advice.failed",
-                         { { "job", asked.mStep.mJob.Value() },
-                           { "advisor", asked.mAdvisor },
+                         { { "job", query.mStep.mJob.Value() },
+                           { "advisor", query.mAdvisor },
                            { "problem", aAnswer.error().Describe() } } });
     return;
   }
   mPort.mLogDecision(
     { "advice.answered",
-      { { "job", asked.mStep.mJob.Value() },
-        { "step", std::to_string(asked.mStep.mStep) },
-        { "queue", asked.mQueue },
-        { "asked", std::to_string(asked.mAsked.size()) },
-        { "by", asked.mAdvisor },
-        { "took_ms", std::to_string(ToMs(mAt.mNow - asked.mAt)) },
+      { { "job", query.mStep.mJob.Value() },
+        { "step", std::to_string(query.mStep.mStep) },
+        { "queue", query.mQueue },
+        { "asked", std::to_string(query.mWorkers.size()) },
+        { "by", query.mAdvisor },
+        { "took_ms", std::to_string(ToMs(mAt.mNow - query.mSentAt)) },
         { "approved", std::to_string(aAnswer->size()) } } });
-  const milliseconds valid = milliseconds(asked.mValidMs) - kTicketMargin;
+  const milliseconds valid = milliseconds(query.mValidMs) - kTicketMargin;
   mAdvice.OnAnswer(
-    asked.mStep, asked.mQueue, asked.mAsked, *aAnswer, mAt.mNow + valid);
+    query.mStep, query.mQueue, query.mWorkers, *aAnswer, mAt.mNow + valid);
 }
 
 std::vector<advice_call>
 leader_core::TakeAdviceCalls()
 {
-  return std::exchange(mQuestions, {});
+  return std::exchange(mAdviceCalls, {});
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/leader_calls.cc
+++ b/oriolewalk/flow/leader_calls.cc
@@ -18,10 +18,10 @@
 IsJobId(std::string_view aText)
 {
   return aText.size() == kJobIdLength &&
-         std::ranges::all_of(aText, [](char aLetter) {
-           return (aLetter >= '0' && aLetter <= '9') ||
-                  (aLetter >= 'a' && aLetter <= 'f') ||
-                  (aLetter >= 'A' && aLetter <= 'F');
+         std::ranges::all_of(aText, [](char aDigit) {
+           return (aDigit >= '0' && aDigit <= '9') ||
+                  (aDigit >= 'a' && aDigit <= 'f') ||
+                  (aDigit >= 'A' && aDigit <= 'F');
          });
 }
 
@@ -59,13 +59,13 @@
 void
 leader_core::HandleRequest(call_number aCall, const flow_request& aRequest)
 {
-  std::visit([&](const auto& aOne) { On(aCall, aOne); }, aRequest);
+  std::visit([&](const auto& aOne) { Handle(aCall, aOne); }, aRequest);
 }
 
 void
-leader_core::On(call_number aCall, const entry_heartbeat& aBeat)
+leader_core::Handle(call_number aCall, const entry_heartbeat& aHeartbeat)
 {
-  mEntries[aBeat.mAddress] = mAt.mNow;
+  mEntries[aHeartbeat.mAddress] = mAt.mNow;
   mPort.mAnswer(aCall,
                 entry_heartbeat_answer{ mState.Table().mVersion,
                                         mState.Table().mLimits,
@@ -73,7 +73,7 @@
 }
 
 void
-leader_core::On(call_number aCall, const job_submission& aJob)
+leader_core::Handle(call_number aCall, const job_submission& aJob)
 {
   const auto& place = aJob.mPath;
   if (mState.Table().mVersion == 0) {
@@ -102,13 +102,13 @@
       aCall, job_answer{ job_reply::Malformed, sound.error().mMessage, 0, 0 });
     return;
   }
-  NoteAccepted(id, *queue, aJob.mSpec);
+  LogAccepted(id, *queue, aJob.mSpec);
   ProposeAndAnswer(
     aCall, submit_job{ job_id(id), *queue, aJob.mSpec }, accepted);
 }
 
 void
-leader_core::On(call_number aCall, const job_query& aQuery)
+leader_core::Handle(call_number aCall, const job_query& aQuery)
 {
   if (mState.Table().mVersion == 0) {
     mPort.mAnswer(aCall, job_answer{ job_reply::NotConfigured, {}, 0, 0 });
@@ -148,7 +148,7 @@
 }
 
 void
-leader_core::On(call_number aCall, const job_cancellation& aCancel)
+leader_core::Handle(call_number aCall, const job_cancellation& aCancel)
 {
   const std::string_view path = aCancel.mPath.mPath;
   const job_id id(std::string(
@@ -166,48 +166,50 @@
 }
 
 bool
-leader_core::IsWorkerChanged(const worker_description& aFacts,
+leader_core::IsWorkerChanged(const worker_description& aDescription,
                              bool aDraining,
                              worker_number aNumber) const
 {
   const worker_record& known = *mState.FindWorker(aNumber);
   return (aDraining && !known.mDraining) ||
-         aFacts.mAddress != known.mDescription.mAddress ||
-         aFacts.mService != known.mDescription.mService ||
-         aFacts.mCapacity != known.mDescription.mCapacity;
+         aDescription.mAddress != known.mDescription.mAddress ||
+         aDescription.mService != known.mDescription.mService ||
+         aDescription.mCapacity != known.mDescription.mCapacity;
 }
 
 void
-leader_core::On(call_number aCall, const worker_heartbeat& aBeat)
+leader_core::Handle(call_number aCall, const worker_heartbeat& aHeartbeat)
 {
-  const worker_number number = mState.NumberOf(aBeat.mDescription.mId);
+  const worker_number number = mState.NumberOf(aHeartbeat.mDescription.mId);
   if (number == 0) {
-    Register(aCall, aBeat, aBeat.mDescription);
+    Register(aCall, aHeartbeat, aHeartbeat.mDescription);
     return;
   }
-  const std::int64_t born = BornOf(number);
-  const bool isOld = aBeat.mDescription.mProcessStartMs == born &&
-                     aBeat.mSequence < mKeeper.LatestHeartbeatNumber(number);
-  if (aBeat.mDescription.mProcessStartMs < born || isOld) {
+  const std::int64_t processStartMs = ProcessStartMs(number);
+  const bool isStale =
+    aHeartbeat.mDescription.mProcessStartMs == processStartMs &&
+    aHeartbeat.mSequence < mSupervisor.LatestHeartbeatNumber(number);
+  if (aHeartbeat.mDescription.mProcessStartMs < processStartMs || isStale) {
     // The heartbeat was delayed, and its sender has ended or has sent a newer
     // one; or the heartbeat is incomplete.
-    NoteLateBeat(aBeat, number);
+    LogLateHeartbeat(aHeartbeat, number);
     mPort.mAnswer(aCall, acknowledgement{});
     return;
   }
-  if (aBeat.mDescription.mProcessStartMs > born) {
-    NoteRestart(number);
-    mKeeper.SaveCheckpoints(number);
-    mKeeper.OnIncarnationEnded(number, "restart", mAt.mNow);
-    PumpKeeper();
-    Register(aCall, aBeat, aBeat.mDescription);
+  if (aHeartbeat.mDescription.mProcessStartMs > processStartMs) {
+    LogRestart(number);
+    mSupervisor.SaveCheckpoints(number);
+    mSupervisor.OnIncarnationEnded(number, "restart", mAt.mNow);
+    DrainSupervisor();
+    Register(aCall, aHeartbeat, aHeartbeat.mDescription);
     return;
   }
-  const worker_description facts = FactsOf(aBeat, number);
-  mKeeper.OnHeartbeat(number, aBeat.mSequence, aBeat.mClockMs, mAt.mNow);
-  if (IsWorkerChanged(facts, aBeat.mDraining, number)) {
-    mKeeper.OnUpdateProposed(number);
-    Register(aCall, aBeat, facts);
+  const worker_description description = DescriptionFrom(aHeartbeat, number);
+  mSupervisor.OnHeartbeat(
+    number, aHeartbeat.mSequence, aHeartbeat.mClockMs, mAt.mNow);
+  if (IsWorkerChanged(description, aHeartbeat.mDraining, number)) {
+    mSupervisor.OnUpdateProposed(number);
+    Register(aCall, aHeartbeat, description);
   } else {
     mPort.mAnswer(aCall, acknowledgement{ IsLarge() });
   }
@@ -217,79 +219,84 @@
 // worker's capacity shrank. A capacity above the known one is therefore
 // accepted only from the next heartbeat on.
 worker_description
-leader_core::FactsOf(const worker_heartbeat& aBeat, worker_number aNumber) const
+leader_core::DescriptionFrom(const worker_heartbeat& aHeartbeat,
+                             worker_number aNumber) const
 {
-  worker_description facts = aBeat.mDescription;
-  if (mKeeper.LatestHeartbeatNumber(aNumber) < 0) {
-    facts.mCapacity = cell::Least(
-      facts.mCapacity, mState.FindWorker(aNumber)->mDescription.mCapacity);
+  worker_description description = aHeartbeat.mDescription;
+  if (mSupervisor.LatestHeartbeatNumber(aNumber) < 0) {
+    description.mCapacity =
+      cell::Least(description.mCapacity,
+                  mState.FindWorker(aNumber)->mDescription.mCapacity);
   }
-  return facts;
+  return description;
 }
 
 void
 leader_core::Register(call_number aCall,
-                      const worker_heartbeat& aBeat,
-                      worker_description aFacts)
+                      const worker_heartbeat& aHeartbeat,
+                      worker_description aDescription)
 {
-  const worker_number number = mState.NumberOf(aFacts.mId);
+  const worker_number number = mState.NumberOf(aDescription.mId);
   decltype(decision::mFields) fields{
-    { "worker", aFacts.mId.Value() },
-    { "address", aFacts.mAddress },
-    { "service", aFacts.mService.Value() },
-    { "draining", aBeat.mDraining ? "yes" : "no" },
-    { "processors_m", std::to_string(aFacts.mCapacity.mMilliProcessors) },
-    { "memory_mb", std::to_string(aFacts.mCapacity.mMemoryMb) },
-    { "born", std::to_string(aFacts.mProcessStartMs) },
-    { "beat", std::to_string(aBeat.mSequence) },
+    { "worker", aDescription.mId.Value() },
+    { "address", aDescription.mAddress },
+    { "service", aDescription.mService.Value() },
+    { "draining", aHeartbeat.mDraining ? "yes" : "no" },
+    { "processors_m", std::to_string(aDescription.mCapacity.mMilliProcessors) },
+    { "memory_mb", std::to_string(aDescription.mCapacity.mMemoryMb) },
+    { "born", std::to_string(aDescription.mProcessStartMs) },
+    { "beat", std::to_string(aHeartbeat.mSequence) },
   };
   if (number == 0) {
     mPort.mLogDecision({ "worker.new", std::move(fields) });
   } else {
     mPort.mLogDecision({ "worker.changed", std::move(fields) });
   }
-  ProposeAndAnswer(aCall,
-                   register_worker{ std::move(aFacts), aBeat.mDraining },
-                   acknowledgement{ IsLarge() });
+  ProposeAndAnswer(
+    aCall,
+    register_worker{ std::move(aDescription), aHeartbeat.mDraining },
+    acknowledgement{ IsLarge() });
 }
 
 std::int64_t
-leader_core::BornOf(worker_number aWorker) const
+leader_core::ProcessStartMs(worker_number aWorker) const
 {
   return mState.FindWorker(aWorker)->mDescription.mProcessStartMs;
 }
 
 void
-leader_core::NoteLateBeat(const worker_heartbeat& aBeat, worker_number aKnown)
+leader_core::LogLateHeartbeat(const worker_heartbeat& aHeartbeat,
+                              worker_number aKnown)
 {
   mPort.mLogDecision(
     { "worker.late_beat",
-      { { "worker", aBeat.mDescription.mId.Value() },
-        { "born", std::to_string(aBeat.mDescription.mProcessStartMs) },
-        { "known_born", std::to_string(BornOf(aKnown)) },
-        { "beat", std::to_string(aBeat.mSequence) } } });
+      { { "worker", aHeartbeat.mDescription.mId.Value() },
+        { "born", std::to_string(aHeartbeat.mDescription.mProcessStartMs) },
+        { "known_born", std::to_string(ProcessStartMs(aKnown)) },
+        { "beat", std::to_string(aHeartbeat.mSequence) } } });
 }
 
 void
-leader_core::NoteRestart(worker_number aKnown)
+leader_core::LogRestart(worker_number aKnown)
 {
   mPort.mLogDecision(
     { "worker.restarted",
       { { "worker", mState.FindWorker(aKnown)->mDescription.mId.Value() },
-        { "known_born", std::to_string(BornOf(aKnown)) },
+        { "known_born", std::to_string(ProcessStartMs(aKnown)) },
         { "runs", std::to_string(mState.RunsAt(aKnown).size()) } } });
 }
 
 void
-leader_core::On(call_number aCall, const heartbeat_summary& aSummary)
+leader_core::Handle(call_number aCall, const heartbeat_summary& aSummary)
 {
   unknown_workers unknown;
-  for (const heartbeat_digest& note : aSummary.mDigests) {
-    const worker_number number = mState.NumberOf(note.mId);
-    if (number == 0 || BornOf(number) != note.mProcessStartMs) {
-      unknown.mIds.push_back(note.mId); // its next heartbeat is a full one
+  for (const heartbeat_digest& digest : aSummary.mDigests) {
+    const worker_number number = mState.NumberOf(digest.mId);
+    if (number == 0 || ProcessStartMs(number) != digest.mProcessStartMs) {
+      unknown.mIds.push_back(digest.mId); // its next heartbeat is a full one
     } else {
-      mKeeper.OnHeartbeat(number, note.mSequence, note.mClockMs, mAt.mNow);
+      mSupervisor.OnHeartbeat(
+        number, digest.mSequence, digest.mClockMs, mAt.mNow);
     }
   }
   mPort.mAnswer(aCall, std::move(unknown));
@@ -306,34 +313,37 @@
 // time counts for a worker that drains, as workers do before they leave; for
 // any other worker the next poll shows whether it restarted.
 bool
-leader_core::IsOfEarlierLife(const worker_deregistration& aFarewell,
-                             const worker_record& aKnown)
+leader_core::IsFromEarlierIncarnation(
+  const worker_deregistration& aDeregistration,
+  const worker_record& aKnown)
 {
-  if (aFarewell.mProcessStartMs == 0) {
+  if (aDeregistration.mProcessStartMs == 0) {
     return aKnown.mDescription.mProcessStartMs != 0 && !aKnown.mDraining;
   }
-  return aFarewell.mProcessStartMs < aKnown.mDescription.mProcessStartMs;
+  return aDeregistration.mProcessStartMs < aKnown.mDescription.mProcessStartMs;
 }
 
 void
-leader_core::On(call_number aCall, const worker_deregistration& aFarewell)
+leader_core::Handle(call_number aCall,
+                    const worker_deregistration& aDeregistration)
 {
-  const worker_number number = mState.NumberOf(aFarewell.mId);
-  if (number == 0 || IsOfEarlierLife(aFarewell, *mState.FindWorker(number))) {
+  const worker_number number = mState.NumberOf(aDeregistration.mId);
+  if (number == 0 ||
+      IsFromEarlierIncarnation(aDeregistration, *mState.FindWorker(number))) {
     mPort.mAnswer(aCall, acknowledgement{});
     return;
   }
   mPort.mLogDecision(
     { "worker.left",
-      { { "worker", aFarewell.mId.Value() },
-        { "born", std::to_string(aFarewell.mProcessStartMs) } } });
-  mKeeper.SaveCheckpoints(number);
-  PumpKeeper();
+      { { "worker", aDeregistration.mId.Value() },
+        { "born", std::to_string(aDeregistration.mProcessStartMs) } } });
+  mSupervisor.SaveCheckpoints(number);
+  DrainSupervisor();
   ProposeAndAnswer(aCall, remove_worker{ number }, acknowledgement{});
 }
 
 void
-leader_core::On(call_number aCall, const table_change& aChange)
+leader_core::Handle(call_number aCall, const table_change& aChange)
 {
   mPort.mLogDecision(
     { "table.put",
@@ -348,13 +358,13 @@
 }
 
 void
-leader_core::On(call_number aCall, const table_read& /*aRead*/)
+leader_core::Handle(call_number aCall, const table_read& /*aRead*/)
 {
   mPort.mAnswer(aCall, table_source{ mState.TableSource() });
 }
 
 void
-leader_core::On(call_number aCall, const join_request& aJoin)
+leader_core::Handle(call_number aCall, const join_request& aJoin)
 {
   // The flow core has already handled the membership. A spare sends queries to
   // the policy service, as entries do.
@@ -367,7 +377,7 @@
 }
 
 void
-leader_core::On(call_number aCall, const leader_probe& /*aProbe*/)
+leader_core::Handle(call_number aCall, const leader_probe& /*aProbe*/)
 {
   mPort.mAnswer(aCall, acknowledgement{});
 }
--- a/oriolewalk/flow/leader_core.cc
+++ b/oriolewalk/flow/leader_core.cc
@@ -13,11 +13,11 @@
 namespace {
 
 // Interval of the checks for due occurrences, broken gangs and unwanted runs.
-constexpr milliseconds kSweepEvery{ 100 };
+constexpr milliseconds kSweepInterval{ 100 };
 // A run that stalls for less than two seconds isn't stopped as a straggler, and
 // ended jobs are kept for minutes. Checking every task ten times a second would
 // cost a leader of 350 workers more than its plans.
-constexpr milliseconds kSlowSweepEvery{ 500 };
+constexpr milliseconds kSlowSweepInterval{ 500 };
 
 } // namespace
 
@@ -47,9 +47,9 @@
   , mOptions(aOptions)
   , mPort(std::move(aPort))
   , mAt(aAt)
-  , mKeeper(aState, aOptions, aTerm, aAt.mNow, aLedUntil)
-  , mCarriers(aOptions.mMaxWorkersWithoutRelays)
-  , mLastQuestion(OrderIdBase(aTerm))
+  , mSupervisor(aState, aOptions, aTerm, aAt.mNow, aLedUntil)
+  , mRelays(aOptions.mMaxWorkersWithoutRelays)
+  , mLastQuery(OrderIdBase(aTerm))
 {
 }
 
@@ -57,23 +57,24 @@
 leader_core::OnApplied(const command_body& aCommand,
                        const apply_outcome& aOutcome)
 {
-  mPace.OnChange(ConcernsFirst(aCommand));
+  mPlanTimer.OnChange(AffectsTopPriority(aCommand));
   if (const auto* worker = std::get_if<register_worker>(&aCommand)) {
     ForgetWorker(aOutcome.mPreviousIncarnation);
-    mKeeper.OnRegistered(mState.NumberOf(worker->mDescription.mId), mAt.mNow);
-  } else if (const auto* gone = std::get_if<remove_worker>(&aCommand)) {
-    ForgetWorker(gone->mWorker);
+    mSupervisor.OnRegistered(mState.NumberOf(worker->mDescription.mId),
+                             mAt.mNow);
+  } else if (const auto* removed = std::get_if<remove_worker>(&aCommand)) {
+    ForgetWorker(removed->mWorker);
   } else if (const auto* ends = std::get_if<end_runs>(&aCommand)) {
-    mKeeper.OnEndsApplied(ends->mWorker, mAt.mNow);
-    LearnFrom(*ends);
-    NoteEnds(*ends);
+    mSupervisor.OnEndsApplied(ends->mWorker, mAt.mNow);
+    RecordEnds(*ends);
+    LogEnds(*ends);
   } else if (const auto* dropped = std::get_if<drop_runs>(&aCommand)) {
-    mKeeper.OnRunsDropped(dropped->mWorker);
+    mSupervisor.OnRunsDropped(dropped->mWorker);
   } else if (const auto* lost = std::get_if<mark_runs_lost>(&aCommand)) {
-    mKeeper.OnRunsDropped(lost->mWorker);
-    mProbation.OnRunsLost(lost->mRuns, mAt.mNow);
+    mSupervisor.OnRunsDropped(lost->mWorker);
+    mIsolation.OnRunsLost(lost->mRuns, mAt.mNow);
   }
-  NoteGivenUp(aOutcome.mAbandonedTasks);
+  LogCrashingTasks(aOutcome.mAbandonedTasks);
   for (const job_id& id : aOutcome.mEndedJobs) {
     const job_record* job = mState.FindJob(id);
     mPort.mLogDecision(
@@ -84,8 +85,8 @@
             std::to_string(mAt.mWallMs - job->mSubmittedWallMs) } } });
     mAdvice.Forget(id);
     mStragglers.Forget(id);
-    mProbation.Forget(id);
-    EraseWhile(mYields, { id, 0, 0, 0 }, [&](const task_ref& aTask) {
+    mIsolation.Forget(id);
+    EraseWhile(mPreemptionRecords, { id, 0, 0, 0 }, [&](const task_ref& aTask) {
       return aTask.mJob == id;
     });
     StopRuns(id, *job);
@@ -95,33 +96,33 @@
 void
 leader_core::ForgetWorker(worker_number aWorker)
 {
-  mKeeper.OnRemoved(aWorker);
+  mSupervisor.OnRemoved(aWorker);
   mHealth.Forget(aWorker);
-  mSharing.Forget(aWorker);
+  mInterference.Forget(aWorker);
 }
 
 void
 leader_core::OnOrderAnswer(std::uint64_t aOrder, const order_answer& aAnswer)
 {
-  mKeeper.OnAnswer(aOrder, aAnswer, mAt.mNow);
-  for (const run_start& refused : mKeeper.TakeTicketRefusals()) {
+  mSupervisor.OnAnswer(aOrder, aAnswer, mAt.mNow);
+  for (const run_start& refused : mSupervisor.TakeTicketRefusals()) {
     const task_ref& task = refused.mRun.mTask;
     mAdvice.Expire({ task.mJob, task.mOccurrence, task.mStep },
                    refused.mWorker);
   }
-  PumpKeeper();
+  DrainSupervisor();
 }
 
 void
-leader_core::PumpKeeper()
+leader_core::DrainSupervisor()
 {
-  std::ranges::for_each(mKeeper.TakeDecisions(), mPort.mLogDecision);
-  for (command_body& body : mKeeper.TakeCommands()) {
+  std::ranges::for_each(mSupervisor.TakeDecisions(), mPort.mLogDecision);
+  for (command_body& body : mSupervisor.TakeCommands()) {
     const auto* ends = std::get_if<end_runs>(&body);
     const worker_number worker = ends == nullptr ? 0 : ends->mWorker;
     if (!mPort.mPropose(std::move(body), {}) && worker != 0) {
-      mKeeper.OnEndsApplied(worker,
-                            mAt.mNow); // the next poll lists the ends again
+      mSupervisor.OnEndsApplied(worker,
+                                mAt.mNow); // the next poll lists the ends again
     }
   }
 }
@@ -129,27 +130,27 @@
 void
 leader_core::Tick()
 {
-  mPace.OnTick(mAt.mNow);
-  mKeeper.Tick(mAt.mNow);
-  PumpKeeper();
-  if (mAt.mNow >= mSweptAt + kSweepEvery) {
+  mPlanTimer.OnTick(mAt.mNow);
+  mSupervisor.Tick(mAt.mNow);
+  DrainSupervisor();
+  if (mAt.mNow >= mSweptAt + kSweepInterval) {
     mSweptAt = mAt.mNow;
-    ChooseCarriers();
-    OpenDue();
+    UpdateRelays();
+    OpenDueOccurrences();
     StopUnwanted();
-    if (mAt.mNow >= mSlowSweptAt + kSlowSweepEvery) {
+    if (mAt.mNow >= mSlowSweptAt + kSlowSweepInterval) {
       mSlowSweptAt = mAt.mNow;
-      ForgetOld();
-      TakeBackStragglers();
+      ForgetOldJobs();
+      StopAllStragglers();
     }
-    for (const auto& [number, view] : mKeeper.Views()) {
-      SharePace(number, view);
+    for (const auto& [number, view] : mSupervisor.Views()) {
+      AdjustPace(number, view);
     }
   }
 }
 
 void
-leader_core::OpenDue()
+leader_core::OpenDueOccurrences()
 {
   for (const auto& [id, record] : mState.LiveJobs()) {
     const job_record& job = *record;
@@ -163,7 +164,7 @@
 }
 
 void
-leader_core::ForgetOld()
+leader_core::ForgetOldJobs()
 {
   const std::int64_t before = mAt.mWallMs -
                               mOptions.mEndedJobRetention.count() -
@@ -182,9 +183,9 @@
 std::vector<worker_order>
 leader_core::TakeOrders()
 {
-  std::vector<worker_order> orders = mKeeper.TakeOrders();
+  std::vector<worker_order> orders = mSupervisor.TakeOrders();
   for (worker_order& order : orders) {
-    order.mRelay = mCarriers.RelayFor(order.mWorker);
+    order.mRelay = mRelays.RelayFor(order.mWorker);
   }
   return orders;
 }
@@ -193,8 +194,8 @@
 leader_core::OtherControls() const
 {
   std::vector<std::string> others;
-  for (const auto& [address, heard] : mSpares) {
-    if (mAt.mNow < heard + kEntryTimeout) {
+  for (const auto& [address, lastHeard] : mSpares) {
+    if (mAt.mNow < lastHeard + kEntryTimeout) {
       others.push_back(address);
     }
   }
@@ -206,15 +207,15 @@
 }
 
 void
-leader_core::ChooseCarriers()
+leader_core::UpdateRelays()
 {
-  const std::vector<std::string> before = mCarriers.Relays();
-  mCarriers.Update(OtherControls(), mState.Workers().size(), mAt.mNow);
-  if (mCarriers.Relays() != before) {
+  const std::vector<std::string> before = mRelays.Relays();
+  mRelays.Update(OtherControls(), mState.Workers().size(), mAt.mNow);
+  if (mRelays.Relays() != before) {
     mPort.mLogDecision(
       { "carriers.changed",
         { { "before", std::to_string(before.size()) },
-          { "now", std::to_string(mCarriers.Relays().size()) },
+          { "now", std::to_string(mRelays.Relays().size()) },
           { "workers", std::to_string(mState.Workers().size()) } } });
   }
 }
@@ -223,7 +224,7 @@
 leader_core::OnRelayFailure(const std::string& aAddress)
 {
   mPort.mLogDecision({ "carrier.failed", { { "carrier", aAddress } } });
-  mCarriers.OnRelayFailure(aAddress, mAt.mNow);
+  mRelays.OnRelayFailure(aAddress, mAt.mNow);
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/leader_core.h
+++ b/oriolewalk/flow/leader_core.h
@@ -99,7 +99,7 @@
   // A command was applied, no matter which process proposed it.
   void OnApplied(const command_body& aCommand, const apply_outcome& aOutcome);
   void OnOrderAnswer(std::uint64_t aOrder, const order_answer& aAnswer);
-  void OnAdviceAnswer(std::uint64_t aOrder, const result<approvals>& aAnswer);
+  void OnAdviceAnswer(std::uint64_t aQueryId, const result<approvals>& aAnswer);
   // Orders could not be handed to the relay at this address.
   void OnRelayFailure(const std::string& aAddress);
   void Tick();
@@ -110,28 +110,28 @@
   std::vector<advice_call> TakeAdviceCalls();
 
 private:
-  struct open_question
+  struct open_query
   {
     std::string mAdvisor;
     step_ref mStep;
     std::string mQueue;
     std::int64_t mValidMs = 0;
-    std::vector<std::pair<worker_number, worker_id>> mAsked;
-    time_point mAt{};
-    bool mFirst = false; // from a top-priority queue
+    std::vector<std::pair<worker_number, worker_id>> mWorkers;
+    time_point mSentAt{};
+    bool mTopPriority = false; // from a top-priority queue
   };
 
-  void On(call_number aCall, const entry_heartbeat& aBeat);
-  void On(call_number aCall, const job_submission& aJob);
-  void On(call_number aCall, const job_query& aQuery);
-  void On(call_number aCall, const job_cancellation& aCancel);
-  void On(call_number aCall, const worker_heartbeat& aBeat);
-  void On(call_number aCall, const heartbeat_summary& aSummary);
-  void On(call_number aCall, const worker_deregistration& aFarewell);
-  void On(call_number aCall, const table_change& aChange);
-  void On(call_number aCall, const table_read& aRead);
-  void On(call_number aCall, const join_request& aJoin);
-  void On(call_number aCall, const leader_probe& aProbe);
+  void Handle(call_number aCall, const entry_heartbeat& aHeartbeat);
+  void Handle(call_number aCall, const job_submission& aJob);
+  void Handle(call_number aCall, const job_query& aQuery);
+  void Handle(call_number aCall, const job_cancellation& aCancel);
+  void Handle(call_number aCall, const worker_heartbeat& aHeartbeat);
+  void Handle(call_number aCall, const heartbeat_summary& aSummary);
+  void Handle(call_number aCall, const worker_deregistration& aDeregistration);
+  void Handle(call_number aCall, const table_change& aChange);
+  void Handle(call_number aCall, const table_read& aRead);
+  void Handle(call_number aCall, const join_request& aJoin);
+  void Handle(call_number aCall, const leader_probe& aProbe);
 
   void Propose(command_body aBody, leader_port::on_applied aThen = {});
   // Proposes aBody and answers the call with aAnswer once it is applied.
@@ -139,99 +139,103 @@
                         command_body aBody,
                         flow_answer aAnswer);
   void AnswerState(call_number aCall, const job_record& aJob);
-  void BeginStarted(const std::vector<run_start>& aProposed,
-                    const apply_outcome& aOutcome);
+  void OnStartsApplied(const std::vector<run_start>& aProposed,
+                       const apply_outcome& aOutcome);
   void StopRuns(const job_id& aId, const job_record& aJob);
   void StopStep(const step_ref& aStep, const step_record& aRecord);
   void StopUnwanted();
-  void TakeBackStragglers();
+  void StopAllStragglers();
   void StopStragglers(const job_id& aId, const job_record& aJob);
-  void LearnFrom(const end_runs& aEnds);
-  void NoteEnds(const end_runs& aEnds);
+  void RecordEnds(const end_runs& aEnds);
+  void LogEnds(const end_runs& aEnds);
   // Logs the tasks whose crashes of workers ended their jobs.
-  void NoteGivenUp(const std::vector<task_ref>& aTasks);
-  void NoteStarts(const std::vector<run_start>& aStarts);
-  void SharePace(worker_number aWorker, const worker_view& aView);
+  void LogCrashingTasks(const std::vector<task_ref>& aTasks);
+  void LogStarts(const std::vector<run_start>& aStarts);
+  void AdjustPace(worker_number aWorker, const worker_view& aView);
   void StopBrokenGangs(const job_id& aId, const job_record& aJob);
-  void OpenDue();
-  void ForgetOld();
-  void PumpKeeper();
+  void OpenDueOccurrences();
+  void ForgetOldJobs();
+  void DrainSupervisor();
   // The worker's known incarnation has ended.
   void ForgetWorker(worker_number aWorker);
   [[nodiscard]] std::vector<plan_worker> UsableWorkers() const;
   [[nodiscard]] plan_input MakeInput(plan_scope aScope);
   // Whether the applied command may allow a top-priority step to proceed.
-  [[nodiscard]] bool ConcernsFirst(const command_body& aCommand) const;
-  void NoteAccepted(const std::string& aId,
-                    const queue_row& aQueue,
-                    const job_spec& aSpec);
-  void NoteWaits(const plan_result& aPlan);
-  void NoteShortage(const plan_result& aPlan, std::size_t aWorkers);
+  [[nodiscard]] bool AffectsTopPriority(const command_body& aCommand) const;
+  void LogAccepted(const std::string& aId,
+                   const queue_row& aQueue,
+                   const job_spec& aSpec);
+  void LogWaits(const plan_result& aPlan);
+  void LogShortage(const plan_result& aPlan, std::size_t aWorkers);
   void Start(std::vector<planned_start> aStarts);
-  void MakeWay(const std::vector<planned_preemption>& aStops);
-  void ForgetYielded();
-  void AskPolicy(const advice_query& aQuestion);
+  void Preempt(const std::vector<planned_preemption>& aPreemptions);
+  void ForgetEndedPreemptions();
+  void QueryPolicy(const advice_query& aQuery);
   [[nodiscard]] std::vector<std::string> FreeAdvisors() const;
   // The live control processes except this one. Spares come first, since they
   // neither vote nor store.
   [[nodiscard]] std::vector<std::string> OtherControls() const;
-  void ChooseCarriers();
+  void UpdateRelays();
   // Whether the cell has so many workers that other control processes take over
   // work that doesn't need the leader.
   [[nodiscard]] bool IsLarge() const;
   [[nodiscard]] advisor_load AdvisorLoad();
   // The process start time of a known worker, as in worker_description.
-  [[nodiscard]] std::int64_t BornOf(worker_number aWorker) const;
-  void NoteLateBeat(const worker_heartbeat& aBeat, worker_number aKnown);
-  void NoteRestart(worker_number aKnown);
-  [[nodiscard]] static bool IsOfEarlierLife(
-    const worker_deregistration& aFarewell,
+  [[nodiscard]] std::int64_t ProcessStartMs(worker_number aWorker) const;
+  void LogLateHeartbeat(const worker_heartbeat& aHeartbeat,
+                        worker_number aKnown);
+  void LogRestart(worker_number aKnown);
+  [[nodiscard]] static bool IsFromEarlierIncarnation(
+    const worker_deregistration& aDeregistration,
     const worker_record& aKnown);
-  [[nodiscard]] bool IsWorkerChanged(const worker_description& aFacts,
+  [[nodiscard]] bool IsWorkerChanged(const worker_description& aDescription,
                                      bool aDraining,
                                      worker_number aNumber) const;
   // The description in a heartbeat of a known incarnation.
-  [[nodiscard]] worker_description FactsOf(const worker_heartbeat& aBeat,
-                                           worker_number aNumber) const;
+  [[nodiscard]] worker_description DescriptionFrom(
+    const worker_heartbeat& aHeartbeat,
+    worker_number aNumber) const;
   void Register(call_number aCall,
-                const worker_heartbeat& aBeat,
-                worker_description aFacts);
+                const worker_heartbeat& aHeartbeat,
+                worker_description aDescription);
 
   const flow_state& mState;
   flow_options mOptions;
   leader_port mPort;
   instant mAt;
-  worker_supervisor mKeeper;
+  worker_supervisor mSupervisor;
   advice_cache mAdvice;
   worker_health mHealth;
   straggler_detector mStragglers;
   wait_tracker mWaits;
-  interference_control mSharing;
-  plan_timer mPace;
-  std::size_t mFirstWaiting = 0; // tasks, in the last plan
-  time_point mShortNotedAt{};
+  interference_control mInterference;
+  plan_timer mPlanTimer;
+  std::size_t mTopPriorityWaiting = 0; // tasks, in the last plan
+  time_point mShortageLoggedAt{};
   time_point mSweptAt{};
   time_point mSlowSweptAt{};
   // Starts that are proposed and not yet applied.
   std::map<task_ref, worker_number> mProposed;
-  std::map<worker_number, cell::resources> mProposedRoom;
+  std::map<worker_number, cell::resources> mProposedCapacity;
   std::map<run_ref, std::string> mTickets; // of proposed starts
   // Preempted runs that may not have ended yet, and their workers.
-  std::map<run_ref, worker_number> mYielding;
-  preemption_records mYields;
-  suspect_isolation mProbation;
+  std::map<run_ref, worker_number> mPreemptedRuns;
+  preemption_records mPreemptionRecords;
+  suspect_isolation mIsolation;
   std::map<std::string, time_point> mEntries;
   std::map<std::string, time_point> mSpares; // processes that aren't members
-  relay_assignment mCarriers;
-  std::map<std::string, time_point> mAsideUntil; // advisors
-  std::map<std::uint64_t, open_question> mOpenQuestions;
-  std::set<step_ref> mAsking;
-  std::map<step_ref, std::vector<worker_number>> mNamed; // by open queries
-  std::set<step_ref> mNothingToAsk;                      // since mAskedAllAt
-  time_point mAskedAllAt{};
-  recent_peak mFirstPeak; // concurrent queries
-  std::uint64_t mLastQuestion;
-  std::vector<advice_call> mQuestions;
+  relay_assignment mRelays;
+  std::map<std::string, time_point> mSkippedUntil; // advisors
+  std::map<std::uint64_t, open_query> mOpenQueries;
+  std::set<step_ref> mQueriedSteps;
+  // The workers that open queries name.
+  std::map<step_ref, std::vector<worker_number>> mQueriedWorkers;
+  // Steps without workers to query, since mNothingToQueryClearedAt.
+  std::set<step_ref> mNothingToQuery;
+  time_point mNothingToQueryClearedAt{};
+  recent_peak mTopPriorityPeak; // concurrent queries
+  std::uint64_t mLastQuery;
+  std::vector<advice_call> mAdviceCalls;
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/leader_log.cc
+++ b/oriolewalk/flow/leader_log.cc
@@ -16,11 +16,11 @@
 
 namespace {
 
-using note_fields = decltype(decision::mFields);
+using log_fields = decltype(decision::mFields);
 
-constexpr milliseconds kShortNoteEvery{ 1'000 };
+constexpr milliseconds kShortageLogInterval{ 1'000 };
 // A wait that is shorter than two commits isn't logged.
-constexpr milliseconds kLeastNotedWait{ 20 };
+constexpr milliseconds kMinLoggedWait{ 20 };
 
 // Formats steps as "8x2500m/1024mb/2a,gang 4x500m/64mb,after", with the
 // properties that decide where and when they run.
@@ -36,7 +36,7 @@
             (step.mSize.mAccelerators > 0
                ? "/" + std::to_string(step.mSize.mAccelerators) + "a"
                : "");
-    const auto wishes = std::to_array<std::pair<bool, std::string_view>>({
+    const auto properties = std::to_array<std::pair<bool, std::string_view>>({
       { step.mGang, ",gang" },
       { step.mLongRunning, ",lasting" },
       { step.mBestEffort, ",fills" },
@@ -50,8 +50,8 @@
       { step.mHasMaxMisses, ",may-miss" },
       { !step.mDependsOn.empty(), ",after" },
     });
-    for (const auto& [holds, word] : wishes) {
-      text += holds ? word : "";
+    for (const auto& [isSet, word] : properties) {
+      text += isSet ? word : "";
     }
   }
   return text;
@@ -60,9 +60,9 @@
 } // namespace
 
 void
-leader_core::NoteAccepted(const std::string& aId,
-                          const queue_row& aQueue,
-                          const job_spec& aSpec)
+leader_core::LogAccepted(const std::string& aId,
+                         const queue_row& aQueue,
+                         const job_spec& aSpec)
 {
   mPort.mLogDecision(
     { "job.accepted",
@@ -77,16 +77,16 @@
 // Logs one line per step that waited, once its tasks are placed, with the time
 // waited for each cause.
 void
-leader_core::NoteWaits(const plan_result& aPlan)
+leader_core::LogWaits(const plan_result& aPlan)
 {
   for (const ended_wait& wait : mWaits.Update(aPlan.mWaits, mAt.mNow)) {
     const auto& times = wait.mTimes;
     if (std::accumulate(times.begin(), times.end(), duration::zero()) <
-        kLeastNotedWait) {
+        kMinLoggedWait) {
       continue;
     }
-    note_fields fields{ { "job", wait.mStep.mJob.Value() },
-                        { "step", std::to_string(wait.mStep.mStep) } };
+    log_fields fields{ { "job", wait.mStep.mJob.Value() },
+                       { "step", std::to_string(wait.mStep.mStep) } };
     for (std::size_t cause = 0; cause < times.size(); ++cause) {
       if (times.at(cause) >= milliseconds(1)) {
         fields.emplace_back(ToString(static_cast<wait_cause>(cause)),
@@ -100,12 +100,13 @@
 // Logs why work waits, once a second while it does: one line for all work, and
 // one per queue with its waiting tasks by cause.
 void
-leader_core::NoteShortage(const plan_result& aPlan, std::size_t aWorkers)
+leader_core::LogShortage(const plan_result& aPlan, std::size_t aWorkers)
 {
-  if (aPlan.mWaiting == 0 || mAt.mNow < mShortNotedAt + kShortNoteEvery) {
+  if (aPlan.mWaiting == 0 ||
+      mAt.mNow < mShortageLoggedAt + kShortageLogInterval) {
     return;
   }
-  mShortNotedAt = mAt.mNow;
+  mShortageLoggedAt = mAt.mNow;
   mPort.mLogDecision(
     { "plan.short",
       { { "waiting", std::to_string(aPlan.mWaiting) },
@@ -117,14 +118,14 @@
         { "held_processors_m",
           std::to_string(aPlan.mReserved.mMilliProcessors) },
         { "held_accelerators", std::to_string(aPlan.mReserved.mAccelerators) },
-        { "yielding", std::to_string(mYielding.size()) },
-        { "asking", std::to_string(mAsking.size()) } } });
+        { "yielding", std::to_string(mPreemptedRuns.size()) },
+        { "asking", std::to_string(mQueriedSteps.size()) } } });
   std::map<std::string_view, std::map<wait_cause, std::size_t>> queues;
   for (const waiting_step& step : aPlan.mWaits) {
     queues[step.mQueue][step.mCause] += step.mTasks;
   }
   for (const auto& [queue, causes] : queues) {
-    note_fields fields{ { "queue", std::string(queue) } };
+    log_fields fields{ { "queue", std::string(queue) } };
     for (const auto& [cause, tasks] : causes) {
       fields.emplace_back(ToString(cause), std::to_string(tasks));
     }
@@ -136,7 +137,7 @@
 // the same attempt: "17@WORKER 18@WORKER". A line per start would be half of
 // all lines, 1,200 a second at 1,100 workers.
 void
-leader_core::NoteStarts(const std::vector<run_start>& aStarts)
+leader_core::LogStarts(const std::vector<run_start>& aStarts)
 {
   std::map<std::pair<step_ref, attempt_t>, std::string> lines;
   for (const run_start& start : aStarts) {
@@ -146,17 +147,17 @@
     runs += (runs.empty() ? "" : " ") + std::to_string(task.mIndex) + "@" +
             mState.FindWorker(start.mWorker)->mDescription.mId.Value();
   }
-  for (auto& [of, runs] : lines) {
+  for (auto& [key, runs] : lines) {
     mPort.mLogDecision({ "run.start",
-                         { { "job", of.first.mJob.Value() },
-                           { "step", std::to_string(of.first.mStep) },
-                           { "attempt", std::to_string(of.second) },
+                         { { "job", key.first.mJob.Value() },
+                           { "step", std::to_string(key.first.mStep) },
+                           { "attempt", std::to_string(key.second) },
                            { "runs", std::move(runs) } } });
   }
 }
 
 void
-leader_core::NoteGivenUp(const std::vector<task_ref>& aTasks)
+leader_core::LogCrashingTasks(const std::vector<task_ref>& aTasks)
 {
   for (const task_ref& task : aTasks) {
     const crash_record& record = *mState.Crashes().Find(task);
@@ -175,7 +176,7 @@
 // The successful ends of a step's tasks add no information and are the most
 // frequent.
 void
-leader_core::NoteEnds(const end_runs& aEnds)
+leader_core::LogEnds(const end_runs& aEnds)
 {
   std::set<step_ref> done;
   for (const run_end& end : aEnds.mEnds) {
--- a/oriolewalk/flow/leader_plans.cc
+++ b/oriolewalk/flow/leader_plans.cc
@@ -14,7 +14,7 @@
 // Interval after which a waiting step of a lower-priority queue that had no
 // worker to query is checked again. Each check scans the workers of the step's
 // service, and hundreds of steps wait.
-constexpr milliseconds kAskAllEvery{ 100 };
+constexpr milliseconds kRecheckInterval{ 100 };
 
 // aWorkers: sorted by number.
 plan_worker*
@@ -27,13 +27,13 @@
 }
 
 void
-AvoidFew(std::vector<plan_worker>& aWorkers)
+ClearAvoidedIfMany(std::vector<plan_worker>& aWorkers)
 {
   // If more than a third of the workers seem bad the cause lies elsewhere, and
   // no worker is avoided.
-  constexpr std::ptrdiff_t kLeastOthers = 3;
+  constexpr std::ptrdiff_t kMinWorkersPerAvoided = 3;
   if (std::ranges::count(aWorkers, true, &plan_worker::mAvoided) *
-        kLeastOthers >
+        kMinWorkersPerAvoided >
       std::ssize(aWorkers)) {
     for (plan_worker& worker : aWorkers) {
       worker.mAvoided = false;
@@ -49,7 +49,7 @@
   std::vector<plan_worker> workers;
   workers.reserve(mState.Workers().size());
   for (const auto& [number, worker] : mState.Workers()) {
-    if (worker.mDraining || !mKeeper.IsUsable(number, mAt.mNow)) {
+    if (worker.mDraining || !mSupervisor.IsUsable(number, mAt.mNow)) {
       continue;
     }
     const placed_totals placed = mState.TotalsAt(number);
@@ -64,17 +64,17 @@
     planned.mRunsBestEffort = placed.mBestEffort > 0;
     planned.mRunsGangOrLongRunning = placed.mLongRunning > 0;
   }
-  for (const auto& [number, room] : mProposedRoom) {
+  for (const auto& [number, capacity] : mProposedCapacity) {
     if (plan_worker* worker = Find(workers, number)) {
-      worker->mFree -= room;
+      worker->mFree -= capacity;
     }
   }
-  for (const auto& [run, number] : mYielding) {
+  for (const auto& [run, number] : mPreemptedRuns) {
     if (plan_worker* worker = Find(workers, number)) {
       worker->mBeingFreed += mState.FindStep(run.mTask)->Booked();
     }
   }
-  AvoidFew(workers);
+  ClearAvoidedIfMany(workers);
   return workers;
 }
 
@@ -86,19 +86,19 @@
   input.mAdvice = &mAdvice;
   input.mWorkers = UsableWorkers();
   input.mProposed = &mProposed;
-  input.mOpenQueries = &mAsking;
-  input.mQueriedWorkers = &mNamed;
-  if (mAt.mNow >= mAskedAllAt + kAskAllEvery) {
-    mAskedAllAt = mAt.mNow;
-    mNothingToAsk.clear();
+  input.mOpenQueries = &mQueriedSteps;
+  input.mQueriedWorkers = &mQueriedWorkers;
+  if (mAt.mNow >= mNothingToQueryClearedAt + kRecheckInterval) {
+    mNothingToQueryClearedAt = mAt.mNow;
+    mNothingToQuery.clear();
   }
-  input.mNothingToQuery = &mNothingToAsk;
-  input.mPreemptionRecords = mYields;
-  input.mSuspicions = mProbation.Summarize(
+  input.mNothingToQuery = &mNothingToQuery;
+  input.mPreemptionRecords = mPreemptionRecords;
+  input.mSuspicions = mIsolation.Summarize(
     mState,
     mProposed,
     [this](worker_number aWorker, const run_ref& aRun) {
-      return mKeeper.IsNewlyStarted(aWorker, aRun);
+      return mSupervisor.IsNewlyStarted(aWorker, aRun);
     },
     mAt.mNow);
   input.mPolicy = mOptions.mPlan;
@@ -112,35 +112,35 @@
 void
 leader_core::PlanIfDue()
 {
-  const auto scope = mPace.DueScope(mState.Workers().size(), mAt.mNow);
+  const auto scope = mPlanTimer.DueScope(mState.Workers().size(), mAt.mNow);
   if (!scope) {
     return;
   }
-  ForgetYielded();
+  ForgetEndedPreemptions();
   plan_input input = MakeInput(*scope);
   const std::size_t usable = input.mWorkers.size();
   plan_result plan = MakePlan(std::move(input));
-  mFirstWaiting = plan.mUrgentWaiting;
+  mTopPriorityWaiting = plan.mUrgentWaiting;
   if (*scope == plan_scope::All) {
-    NoteWaits(plan);
-    NoteShortage(plan, usable);
+    LogWaits(plan);
+    LogShortage(plan, usable);
   }
-  mPace.OnPlanned(*scope, plan.mWaiting, mAt.mNow);
-  mNothingToAsk.insert(plan.mNothingToQuery.begin(),
-                       plan.mNothingToQuery.end());
-  for (const advice_query& asked : plan.mQueries) {
-    AskPolicy(asked);
+  mPlanTimer.OnPlanned(*scope, plan.mWaiting, mAt.mNow);
+  mNothingToQuery.insert(plan.mNothingToQuery.begin(),
+                         plan.mNothingToQuery.end());
+  for (const advice_query& query : plan.mQueries) {
+    QueryPolicy(query);
   }
-  MakeWay(plan.mPreemptions);
+  Preempt(plan.mPreemptions);
   if (!plan.mStarts.empty()) {
     Start(std::move(plan.mStarts));
   }
 }
 
 bool
-leader_core::ConcernsFirst(const command_body& aCommand) const
+leader_core::AffectsTopPriority(const command_body& aCommand) const
 {
-  const auto isFirst = [this](const run_ref& aRun) {
+  const auto isTopPriority = [this](const run_ref& aRun) {
     const job_record* job = mState.FindJob(aRun.mTask.mJob);
     const step_spec* step = mState.FindStep(aRun.mTask);
     return job != nullptr && step != nullptr &&
@@ -150,11 +150,12 @@
     overloaded{
       [](const submit_job& aSubmit) { return aSubmit.mQueue.mPriority == 0; },
       [&](const end_runs& aEnds) {
-        return mFirstWaiting > 0 ||
-               std::ranges::any_of(aEnds.mEnds, isFirst, &run_end::mRun);
+        return mTopPriorityWaiting > 0 ||
+               std::ranges::any_of(aEnds.mEnds, isTopPriority, &run_end::mRun);
       },
       [&](const drop_runs& aDrop) {
-        return mFirstWaiting > 0 || std::ranges::any_of(aDrop.mRuns, isFirst);
+        return mTopPriorityWaiting > 0 ||
+               std::ranges::any_of(aDrop.mRuns, isTopPriority);
       },
       [](const auto&) { return false; },
     },
--- a/oriolewalk/flow/leader_runs.cc
+++ b/oriolewalk/flow/leader_runs.cc
@@ -41,7 +41,7 @@
   for (std::uint32_t index = 0; index < aRecord.mTasks.size(); ++index) {
     const task_record& task = aRecord.mTasks[index];
     if (task.mPhase == task_phase::Placed) {
-      mKeeper.RequestStop(
+      mSupervisor.RequestStop(
         task.mWorker,
         { { aStep.mJob, aStep.mOccurrence, aStep.mStep, index },
           task.mAttempt },
@@ -66,7 +66,7 @@
 }
 
 void
-leader_core::TakeBackStragglers()
+leader_core::StopAllStragglers()
 {
   for (const auto& [id, record] : mState.LiveJobs()) {
     const job_record& job = *record;
@@ -77,7 +77,7 @@
 }
 
 void
-leader_core::LearnFrom(const end_runs& aEnds)
+leader_core::RecordEnds(const end_runs& aEnds)
 {
   for (const run_end& end : aEnds.mEnds) {
     mHealth.OnRunEnded(aEnds.mWorker, end.mOutcome, mAt.mNow);
@@ -113,7 +113,7 @@
                                { "step", std::to_string(step) },
                                { "task", std::to_string(index) } } });
         mHealth.OnStall(tasks[index].mWorker, mAt.mNow);
-        mKeeper.RequestStop(tasks[index].mWorker, run, mAt.mNow);
+        mSupervisor.RequestStop(tasks[index].mWorker, run, mAt.mNow);
       }
     }
   }
@@ -136,7 +136,7 @@
 }
 
 void
-leader_core::SharePace(worker_number aWorker, const worker_view& aView)
+leader_core::AdjustPace(worker_number aWorker, const worker_view& aView)
 {
   if (mState.TotalsAt(aWorker).mBestEffort == 0) {
     return;
@@ -153,13 +153,14 @@
                      step->mBestEffort,
                      seen.mPercent });
   }
-  for (const pace_change& change : mSharing.Decide(aWorker, runs, mAt.mNow)) {
+  for (const pace_change& change :
+       mInterference.Decide(aWorker, runs, mAt.mNow)) {
     mPort.mLogDecision({ "run.pace",
                          { { "job", change.mRun.mTask.mJob.Value() },
                            { "step", std::to_string(change.mRun.mTask.mStep) },
                            { "task", std::to_string(change.mRun.mTask.mIndex) },
                            { "percent", std::to_string(change.mPercent) } } });
-    mKeeper.SetPace(aWorker, change.mRun, change.mPercent, mAt.mNow);
+    mSupervisor.SetPace(aWorker, change.mRun, change.mPercent, mAt.mNow);
   }
 }
 
@@ -170,7 +171,8 @@
   for (planned_start& planned : aStarts) {
     const run_start& start = planned.mStart;
     mProposed[start.mRun.mTask] = start.mWorker;
-    mProposedRoom[start.mWorker] += mState.FindStep(start.mRun.mTask)->Booked();
+    mProposedCapacity[start.mWorker] +=
+      mState.FindStep(start.mRun.mTask)->Booked();
     if (!planned.mTicket.empty()) {
       mTickets[start.mRun] = std::move(planned.mTicket);
     }
@@ -179,17 +181,17 @@
   const std::vector<run_start> proposed = body.mRuns;
   const bool sent = mPort.mPropose(
     std::move(body), [this, proposed](const apply_outcome& aOutcome) {
-      BeginStarted(proposed, aOutcome);
+      OnStartsApplied(proposed, aOutcome);
     });
   if (!sent) {
-    BeginStarted(proposed, {});
+    OnStartsApplied(proposed, {});
   }
 }
 
 void
-leader_core::MakeWay(const std::vector<planned_preemption>& aStops)
+leader_core::Preempt(const std::vector<planned_preemption>& aPreemptions)
 {
-  for (const auto& [placed, step] : aStops) {
+  for (const auto& [placed, step] : aPreemptions) {
     const task_ref& task = placed.mRun.mTask;
     mPort.mLogDecision(
       { "run.yields",
@@ -199,24 +201,25 @@
           { "for", step.mJob.Value() },
           { "worker",
             mState.FindWorker(placed.mWorker)->mDescription.mId.Value() } } });
-    preemption_record& yields = mYields[task];
-    ++yields.mCount;
-    yields.mInProgress = true;
-    mYielding[placed.mRun] = placed.mWorker;
-    mKeeper.RequestStop(placed.mWorker, placed.mRun, mAt.mNow);
+    preemption_record& preemption = mPreemptionRecords[task];
+    ++preemption.mCount;
+    preemption.mInProgress = true;
+    mPreemptedRuns[placed.mRun] = placed.mWorker;
+    mSupervisor.RequestStop(placed.mWorker, placed.mRun, mAt.mNow);
   }
 }
 
 // Forgets preempted runs that have ended.
 void
-leader_core::ForgetYielded()
+leader_core::ForgetEndedPreemptions()
 {
-  std::erase_if(mYielding, [this](const auto& aEntry) {
+  std::erase_if(mPreemptedRuns, [this](const auto& aEntry) {
     const auto& [run, worker] = aEntry;
     if (mState.IsPlaced(run, worker)) {
       return false;
     }
-    if (const auto found = mYields.find(run.mTask); found != mYields.end()) {
+    if (const auto found = mPreemptionRecords.find(run.mTask);
+        found != mPreemptionRecords.end()) {
       found->second.mInProgress = false;
     }
     return true;
@@ -224,27 +227,27 @@
 }
 
 void
-leader_core::BeginStarted(const std::vector<run_start>& aProposed,
-                          const apply_outcome& aOutcome)
+leader_core::OnStartsApplied(const std::vector<run_start>& aProposed,
+                             const apply_outcome& aOutcome)
 {
   for (const run_start& start : aProposed) {
     mProposed.erase(start.mRun.mTask);
     if (const step_spec* step = mState.FindStep(start.mRun.mTask)) {
-      mProposedRoom[start.mWorker] -= step->Booked();
+      mProposedCapacity[start.mWorker] -= step->Booked();
     }
-    if (mProposedRoom[start.mWorker] == cell::resources{}) {
-      mProposedRoom.erase(start.mWorker);
+    if (mProposedCapacity[start.mWorker] == cell::resources{}) {
+      mProposedCapacity.erase(start.mWorker);
     }
   }
   for (const run_start& start : aOutcome.mStarted) {
     const auto ticket = mTickets.find(start.mRun);
     mStragglers.OnRunStarted(start.mRun, mAt.mNow);
-    mKeeper.OnStartCommitted(start,
-                             ticket == mTickets.end() ? std::string()
-                                                      : ticket->second,
-                             mAt.mNow);
+    mSupervisor.OnStartCommitted(start,
+                                 ticket == mTickets.end() ? std::string()
+                                                          : ticket->second,
+                                 mAt.mNow);
   }
-  NoteStarts(aOutcome.mStarted);
+  LogStarts(aOutcome.mStarted);
   for (const run_start& start : aProposed) {
     mTickets.erase(start.mRun);
   }
