--- a/oriolewalk/flow/erase_while.h
+++ b/oriolewalk/flow/erase_while.h
@@ -13,12 +13,14 @@
 
 // Erases entries from the first key that isn't less than aFirst on, while
 // aPredicate(key) holds. Cost: logarithmic, plus the erased entries.
-template<class Map, class IsOne>
+template<class Map, class Predicate>
 void
-EraseWhile(Map& aMap, const typename Map::key_type& aFirst, IsOne aIsOne)
+EraseWhile(Map& aMap,
+           const typename Map::key_type& aFirst,
+           Predicate aPredicate)
 {
   for (auto next = aMap.lower_bound(aFirst);
-       next != aMap.end() && aIsOne(next->first);) {
+       next != aMap.end() && aPredicate(next->first);) {
     next = aMap.erase(next);
   }
 }
--- a/oriolewalk/flow/interference_control.cc
+++ b/oriolewalk/flow/interference_control.cc
@@ -8,20 +8,20 @@
 
 // The figures show a change only once the new pace has taken effect and half a
 // second has been measured.
-constexpr milliseconds kSettle{ 700 };
+constexpr milliseconds kSettleTime{ 700 };
 // Ratios of the tail latency to its target: from kHalveRatio on the pace of
 // best-effort work is halved, from kStopRatio on the work stops, up to
 // kRaiseRatio its pace is raised.
-constexpr double kHalve = 0.85;
-constexpr double kStop = 1.2;
-constexpr double kRaise = 0.6;
-constexpr int kStep = 20;
-constexpr int kFull = 100;
+constexpr double kHalveRatio = 0.85;
+constexpr double kStopRatio = 1.2;
+constexpr double kRaiseRatio = 0.6;
+constexpr int kRaisePercent = 20;
+constexpr int kFullPercent = 100;
 // A lower pace becomes a stop: so little work isn't worth the risk.
-constexpr int kLeast = 10;
+constexpr int kMinPercent = 10;
 
 double
-WorstTail(std::span<const colocated_run> aRuns)
+WorstTailRatio(std::span<const colocated_run> aRuns)
 {
   double worst = 0;
   for (const colocated_run& run : aRuns) {
@@ -37,14 +37,14 @@
 int
 NextPercent(int aPercent, double aWorst)
 {
-  if (aWorst >= kStop) {
+  if (aWorst >= kStopRatio) {
     return 0;
   }
-  if (aWorst >= kHalve) {
-    return aPercent / 2 < kLeast ? 0 : aPercent / 2;
+  if (aWorst >= kHalveRatio) {
+    return aPercent / 2 < kMinPercent ? 0 : aPercent / 2;
   }
-  if (aWorst <= kRaise) {
-    return std::min(kFull, aPercent + kStep);
+  if (aWorst <= kRaiseRatio) {
+    return std::min(kFullPercent, aPercent + kRaisePercent);
   }
   return aPercent;
 }
@@ -57,13 +57,14 @@
                              time_point aNow)
 {
   std::vector<pace_change> changes;
-  const bool fills = std::ranges::any_of(aRuns, &colocated_run::mBestEffort);
-  const double worst = WorstTail(aRuns);
+  const bool hasBestEffort =
+    std::ranges::any_of(aRuns, &colocated_run::mBestEffort);
+  const double worst = WorstTailRatio(aRuns);
   const auto changed = mChangedAt.find(aWorker);
   // A stop is never delayed.
   const bool settled =
-    changed == mChangedAt.end() || aNow >= changed->second + kSettle;
-  if (!fills || (!settled && worst < kStop)) {
+    changed == mChangedAt.end() || aNow >= changed->second + kSettleTime;
+  if (!hasBestEffort || (!settled && worst < kStopRatio)) {
     return changes;
   }
   for (const colocated_run& run : aRuns) {
--- a/oriolewalk/flow/plan_timer.cc
+++ b/oriolewalk/flow/plan_timer.cc
@@ -23,17 +23,17 @@
 // top-priority first starts took 150 ms of the 250 ms that callers allow beside
 // the work, and 0.81 of a burst's urgent jobs were in time; with this one 90 ms
 // and 0.89. Such a plan takes a millisecond of a core.
-constexpr microseconds kFirstPausePerWorker{ 8 };
+constexpr microseconds kTopPriorityPausePerWorker{ 8 };
 // The pauses assume a process that keeps up with its work. If its ticks come at
 // twice their interval or later, the pauses are multiplied by that factor.
 // Otherwise plans, which can wait, delay workers' answers and commits, which
 // makes plans still more expensive.
-constexpr milliseconds kTickOnTime{ 10 };
-constexpr std::int64_t kMostLateness = 4;
+constexpr milliseconds kTickInterval{ 10 };
+constexpr std::int64_t kMaxLateness = 4;
 // Maximum interval between two plans, since tickets expire.
-constexpr milliseconds kPlanEvery{ 100 };
+constexpr milliseconds kMaxPlanInterval{ 100 };
 // Window of the moving average of tick intervals, about a sixth of a second.
-constexpr int kTicksRemembered = 16;
+constexpr int kTickWindow = 16;
 
 } // namespace
 
@@ -41,7 +41,7 @@
 plan_timer::OnTick(time_point aNow)
 {
   if (mTickedAt != time_point{}) {
-    mTickGap += (aNow - mTickedAt - mTickGap) / kTicksRemembered;
+    mMeanTickInterval += (aNow - mTickedAt - mMeanTickInterval) / kTickWindow;
   }
   mTickedAt = aNow;
 }
@@ -50,19 +50,19 @@
 plan_timer::DueScope(std::size_t aWorkers, time_point aNow) const
 {
   const auto workers = static_cast<std::int64_t>(aWorkers);
-  const auto lateness =
-    std::clamp<std::int64_t>(mTickGap / kTickOnTime, 1, kMostLateness);
+  const auto lateness = std::clamp<std::int64_t>(
+    mMeanTickInterval / kTickInterval, 1, kMaxLateness);
   const duration since = aNow - mPlannedAt;
   const duration pause =
     lateness * (kPlanPause + kPlanPausePerWorker * workers +
                 kPlanPausePerWaiting * mWaitingTasks);
-  if (since >= pause && (mChanged || since >= kPlanEvery)) {
+  if (since >= pause && (mChanged || since >= kMaxPlanInterval)) {
     return plan_scope::All;
   }
-  const duration firstPause =
-    lateness * (kPlanPause + kFirstPausePerWorker * workers);
-  if (mFirstChanged &&
-      aNow - std::max(mPlannedAt, mFirstPlannedAt) >= firstPause) {
+  const duration topPriorityPause =
+    lateness * (kPlanPause + kTopPriorityPausePerWorker * workers);
+  if (mTopPriorityChanged &&
+      aNow - std::max(mPlannedAt, mTopPriorityPlannedAt) >= topPriorityPause) {
     return plan_scope::TopPriority;
   }
   return std::nullopt;
@@ -71,8 +71,8 @@
 void
 plan_timer::OnPlanned(plan_scope aScope, std::size_t aWaiting, time_point aNow)
 {
-  mFirstChanged = false;
-  mFirstPlannedAt = aNow;
+  mTopPriorityChanged = false;
+  mTopPriorityPlannedAt = aNow;
   if (aScope == plan_scope::All) {
     mChanged = false;
     mPlannedAt = aNow;
--- a/oriolewalk/flow/plan_timer.h
+++ b/oriolewalk/flow/plan_timer.h
@@ -30,10 +30,10 @@
   // Ticks are 10 ms apart, and further apart the busier the process is.
   void OnTick(time_point aNow);
   // aTopPriority: the change may allow a top-priority step to proceed.
-  void OnChange(bool aFirst)
+  void OnChange(bool aTopPriority)
   {
     mChanged = true;
-    mFirstChanged = mFirstChanged || aFirst;
+    mTopPriorityChanged = mTopPriorityChanged || aTopPriority;
   }
   // Returns nullopt if no plan is due yet.
   [[nodiscard]] std::optional<plan_scope> DueScope(std::size_t aWorkers,
@@ -43,12 +43,12 @@
 
 private:
   bool mChanged = true;
-  bool mFirstChanged = false;
+  bool mTopPriorityChanged = false;
   time_point mPlannedAt{}; // all steps
-  time_point mFirstPlannedAt{};
+  time_point mTopPriorityPlannedAt{};
   std::int64_t mWaitingTasks = 0; // in the last plan of all steps
   time_point mTickedAt{};
-  duration mTickGap{}; // moving average of the tick interval
+  duration mMeanTickInterval{}; // moving average of the tick interval
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/preemption.cc
+++ b/oriolewalk/flow/preemption.cc
@@ -10,10 +10,10 @@
 
 // A task that was preempted twice has lost two restarts; the next time another
 // task is preempted.
-constexpr int kMostYields = 2;
+constexpr int kMaxPreemptions = 2;
 
 bool
-SavesItself(const step_spec& aSpec)
+IsPreemptible(const step_spec& aSpec)
 {
   return aSpec.mCheckpoints && !aSpec.mGang && !aSpec.mLongRunning;
 }
@@ -31,8 +31,8 @@
 {
   const auto sizes = aSize.Amounts();
   const auto missing = aMissing.Amounts();
-  for (std::size_t place = 0; place < sizes.size(); ++place) {
-    if (missing.at(place) > 0 && sizes.at(place) > 0) {
+  for (std::size_t index = 0; index < sizes.size(); ++index) {
+    if (missing.at(index) > 0 && sizes.at(index) > 0) {
       return true;
     }
   }
@@ -42,43 +42,43 @@
 } // namespace
 
 preemption_planner::preemption_planner(const flow_state& aState,
-                                       preemption_records aYields)
+                                       preemption_records aRecords)
   : mState(aState)
-  , mYields(std::move(aYields))
+  , mRecords(std::move(aRecords))
 {
   for (const queue_row& queue : mState.Table().mQueues) {
-    const auto [last, fresh] =
-      mLastPriority.try_emplace(queue.mService, queue.mPriority);
-    last->second = std::max(last->second, queue.mPriority);
+    const auto [lowest, isNew] =
+      mLowestPriority.try_emplace(queue.mService, queue.mPriority);
+    lowest->second = std::max(lowest->second, queue.mPriority);
   }
 }
 
 bool
-preemption_planner::HasLaterQueue(const queue_row& aQueue)
+preemption_planner::HasLowerPriorityQueue(const queue_row& aQueue)
 {
-  return aQueue.mPriority < mLastPriority[aQueue.mService];
+  return aQueue.mPriority < mLowestPriority[aQueue.mService];
 }
 
 bool
-preemption_planner::MayYield(const task_ref& aTask) const
+preemption_planner::MayPreempt(const task_ref& aTask) const
 {
-  const auto found = mYields.find(aTask);
-  return found == mYields.end() ||
-         (!found->second.mInProgress && found->second.mCount < kMostYields);
+  const auto found = mRecords.find(aTask);
+  return found == mRecords.end() ||
+         (!found->second.mInProgress && found->second.mCount < kMaxPreemptions);
 }
 
 const std::vector<preemption_planner::candidate>&
 preemption_planner::CandidatesAt(worker_number aWorker)
 {
-  const auto [found, fresh] = mCandidates.try_emplace(aWorker);
+  const auto [found, isNew] = mCandidates.try_emplace(aWorker);
   std::vector<candidate>& candidates = found->second;
-  if (!fresh) {
+  if (!isNew) {
     return candidates;
   }
   for (const run_ref& run : mState.RunsAt(aWorker)) {
     const step_spec& spec = *mState.FindStep(run.mTask);
     const job_record& job = *mState.FindJob(run.mTask.mJob);
-    if (SavesItself(spec) && job.IsActive()) {
+    if (IsPreemptible(spec) && job.IsActive()) {
       candidates.push_back(
         { run, mState.QueueOf(job).mPriority, spec.Booked() });
     }
@@ -103,14 +103,14 @@
   if (IsCovered(missing)) {
     return stops;
   }
-  if (!HasLaterQueue(*aStep.mQueue)) {
+  if (!HasLowerPriorityQueue(*aStep.mQueue)) {
     return std::nullopt;
   }
   for (const candidate& one : CandidatesAt(aWorker.mNumber)) {
     if (one.mPriority <= aStep.mQueue->mPriority) {
       break; // sorted by priority, the lowest first
     }
-    if (!Helps(one.mSize, missing) || !MayYield(one.mRun.mTask)) {
+    if (!Helps(one.mSize, missing) || !MayPreempt(one.mRun.mTask)) {
       continue;
     }
     stops.push_back(one.mRun);
@@ -127,7 +127,7 @@
                             plan_worker& aWorker)
 {
   for (const run_ref& run : aRuns) {
-    mYields[run.mTask].mInProgress = true;
+    mRecords[run.mTask].mInProgress = true;
     aWorker.mBeingFreed += mState.FindStep(run.mTask)->Booked();
   }
 }
@@ -135,7 +135,7 @@
 void
 preemption_planner::CancelPreemption(const run_ref& aRun, plan_worker& aWorker)
 {
-  mYields[aRun.mTask].mInProgress = false;
+  mRecords[aRun.mTask].mInProgress = false;
   aWorker.mBeingFreed -= mState.FindStep(aRun.mTask)->Booked();
 }
 
--- a/oriolewalk/flow/preemption.h
+++ b/oriolewalk/flow/preemption.h
@@ -41,7 +41,7 @@
 class preemption_planner
 {
 public:
-  preemption_planner(const flow_state& aState, preemption_records aYields);
+  preemption_planner(const flow_state& aState, preemption_records aRecords);
 
   // Returns nullopt if not enough runs may be preempted there, and an empty
   // list if none needs to be.
@@ -65,13 +65,13 @@
   // first, then the largest ones, which means fewest restarts.
   const std::vector<candidate>& CandidatesAt(worker_number aWorker);
   // Whether the queue's service has a queue of lower priority.
-  bool HasLaterQueue(const queue_row& aQueue);
-  [[nodiscard]] bool MayYield(const task_ref& aTask) const;
+  bool HasLowerPriorityQueue(const queue_row& aQueue);
+  [[nodiscard]] bool MayPreempt(const task_ref& aTask) const;
 
   const flow_state& mState;
-  preemption_records mYields;
+  preemption_records mRecords;
   std::map<worker_number, std::vector<candidate>> mCandidates;
-  std::map<service_id, int> mLastPriority;
+  std::map<service_id, int> mLowestPriority;
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/relay_assignment.cc
+++ b/oriolewalk/flow/relay_assignment.cc
@@ -10,10 +10,10 @@
 
 // Four connections per worker (a long poll, and starts and stops beside it)
 // take a quarter of the 4,096 descriptors that a process commonly has.
-constexpr std::size_t kWorkersEach = 250;
+constexpr std::size_t kWorkersPerRelay = 250;
 // Longer than a restart, and half of a lease. Until then the polls of the
 // relay's workers go elsewhere; afterwards it is tried again.
-constexpr milliseconds kAside{ 2'000 };
+constexpr milliseconds kRetryDelay{ 2'000 };
 
 // Rendezvous hashing: when a relay fails, only its own workers move.
 std::uint64_t
@@ -33,20 +33,21 @@
                          std::size_t aWorkers,
                          time_point aNow)
 {
-  std::erase_if(mAsideUntil,
+  std::erase_if(mSkippedUntil,
                 [&](const auto& aEntry) { return aEntry.second <= aNow; });
-  mCarriers.clear();
-  if (aWorkers <= mAlone) {
+  mRelays.clear();
+  if (aWorkers <= mMaxWithoutRelays) {
     return;
   }
-  const std::size_t wanted = (aWorkers + kWorkersEach - 1) / kWorkersEach;
+  const std::size_t wanted =
+    (aWorkers + kWorkersPerRelay - 1) / kWorkersPerRelay;
   for (const std::string& other : aOthers) {
-    if (mCarriers.size() < wanted && !mAsideUntil.contains(other) &&
-        std::ranges::find(mCarriers, other) == mCarriers.end()) {
-      mCarriers.push_back(other);
+    if (mRelays.size() < wanted && !mSkippedUntil.contains(other) &&
+        std::ranges::find(mRelays, other) == mRelays.end()) {
+      mRelays.push_back(other);
     }
   }
-  std::ranges::sort(mCarriers);
+  std::ranges::sort(mRelays);
 }
 
 const std::string&
@@ -54,17 +55,17 @@
 {
   static const std::string sLeader;
   const auto best =
-    std::ranges::max_element(mCarriers, {}, [&](const std::string& aAddress) {
+    std::ranges::max_element(mRelays, {}, [&](const std::string& aAddress) {
       return Weight(aAddress, aWorker);
     });
-  return best == mCarriers.end() ? sLeader : *best;
+  return best == mRelays.end() ? sLeader : *best;
 }
 
 void
 relay_assignment::OnRelayFailure(const std::string& aAddress, time_point aNow)
 {
-  mAsideUntil[aAddress] = aNow + kAside;
-  std::erase(mCarriers, aAddress);
+  mSkippedUntil[aAddress] = aNow + kRetryDelay;
+  std::erase(mRelays, aAddress);
 }
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/relay_assignment.h
+++ b/oriolewalk/flow/relay_assignment.h
@@ -32,8 +32,8 @@
 public:
   // aMaxWithoutRelays: up to this many workers the leader makes all calls
   // itself.
-  explicit relay_assignment(std::size_t aAlone)
-    : mAlone(aAlone)
+  explicit relay_assignment(std::size_t aMaxWithoutRelays)
+    : mMaxWithoutRelays(aMaxWithoutRelays)
   {
   }
   // aOthers: the live control processes except the leader, those with the least
@@ -48,13 +48,13 @@
   void OnRelayFailure(const std::string& aAddress, time_point aNow);
   [[nodiscard]] const std::vector<std::string>& Relays() const
   {
-    return mCarriers;
+    return mRelays;
   }
 
 private:
-  std::size_t mAlone;
-  std::vector<std::string> mCarriers; // sorted
-  std::map<std::string, time_point> mAsideUntil;
+  std::size_t mMaxWithoutRelays;
+  std::vector<std::string> mRelays; // sorted
+  std::map<std::string, time_point> mSkippedUntil;
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/straggler_detector.cc
+++ b/oriolewalk/flow/straggler_detector.cc
@@ -12,10 +12,10 @@
 // 400 ms stopped tasks that were merely long: the served share of three
 // scenarios with faults was 0.975, 0.971 and 0.921 instead of 0.977, 0.977 and
 // 0.942 without any stops.
-constexpr double kFactor = 4;
-constexpr double kAddedMs = 1'500;
+constexpr double kSlowdownFactor = 4;
+constexpr double kSlowdownMarginMs = 1'500;
 // A task that was stopped twice is slow by itself.
-constexpr int kMostTakenBack = 2;
+constexpr int kMaxStops = 2;
 
 step_ref
 StepOf(const task_ref& aTask)
@@ -34,7 +34,7 @@
 void
 straggler_detector::OnRunStarted(const run_ref& aRun, time_point aNow)
 {
-  mBegan[aRun] = aNow;
+  mStartedAt[aRun] = aNow;
 }
 
 std::optional<double>
@@ -42,11 +42,11 @@
                                run_outcome aOutcome,
                                time_point aNow)
 {
-  const auto began = mBegan.extract(aRun);
-  if (began.empty() || aOutcome != run_outcome::Done) {
+  const auto started = mStartedAt.extract(aRun);
+  if (started.empty() || aOutcome != run_outcome::Done) {
     return std::nullopt;
   }
-  const double took = ToMs(aNow - began.mapped());
+  const double took = ToMs(aNow - started.mapped());
   step_times& step = mSteps[StepOf(aRun.mTask)];
   std::optional<double> ratio;
   if (step.mFinished > 0 && step.mMeanMs > 0) {
@@ -60,30 +60,31 @@
 bool
 straggler_detector::MarkIfStraggler(const run_ref& aRun, time_point aNow)
 {
-  const auto began = mBegan.find(aRun);
+  const auto started = mStartedAt.find(aRun);
   const auto step = mSteps.find(StepOf(aRun.mTask));
-  if (began == mBegan.end() || step == mSteps.end() ||
-      ToMs(aNow - began->second) < kFactor * step->second.mMeanMs + kAddedMs) {
+  if (started == mStartedAt.end() || step == mSteps.end() ||
+      ToMs(aNow - started->second) <
+        kSlowdownFactor * step->second.mMeanMs + kSlowdownMarginMs) {
     return false;
   }
-  int& taken = mTakenBack[aRun.mTask];
-  if (taken >= kMostTakenBack) {
+  int& stops = mStops[aRun.mTask];
+  if (stops >= kMaxStops) {
     return false;
   }
-  ++taken;
+  ++stops;
   return true;
 }
 
 void
 straggler_detector::Forget(const job_id& aJob)
 {
-  EraseWhile(mBegan, { { aJob, 0, 0, 0 }, 0 }, [&](const run_ref& aRun) {
+  EraseWhile(mStartedAt, { { aJob, 0, 0, 0 }, 0 }, [&](const run_ref& aRun) {
     return aRun.mTask.mJob == aJob;
   });
   EraseWhile(mSteps, { aJob, 0, 0 }, [&](const step_ref& aStep) {
     return aStep.mJob == aJob;
   });
-  EraseWhile(mTakenBack, { aJob, 0, 0, 0 }, [&](const task_ref& aTask) {
+  EraseWhile(mStops, { aJob, 0, 0, 0 }, [&](const task_ref& aTask) {
     return aTask.mJob == aJob;
   });
 }
--- a/oriolewalk/flow/straggler_detector.h
+++ b/oriolewalk/flow/straggler_detector.h
@@ -48,9 +48,9 @@
     int mFinished = 0;
   };
 
-  std::map<run_ref, time_point> mBegan;
+  std::map<run_ref, time_point> mStartedAt;
   std::map<step_ref, step_times> mSteps;
-  std::map<task_ref, int> mTakenBack;
+  std::map<task_ref, int> mStops;
 };
 
 } // namespace oriolewalk::flow
--- a/oriolewalk/flow/suspect_isolation.h
+++ b/oriolewalk/flow/suspect_isolation.h
@@ -37,8 +37,8 @@
   std::uint32_t mCount = 0;
   std::uint32_t mHighSuspicion = 0; // of those
 
-  void Add(suspicion aOne);
-  void Remove(suspicion aOne);
+  void Add(suspicion aSuspicion);
+  void Remove(suspicion aSuspicion);
 };
 
 // The suspects as one plan sees them.
@@ -49,7 +49,7 @@
   std::map<job_id, std::uint32_t> mRunningByJob; // of those in mByWorker
 
   // How many more suspects of the job may start now.
-  [[nodiscard]] std::uint32_t MaxStarts(const crash_tracker& aBook,
+  [[nodiscard]] std::uint32_t MaxStarts(const crash_tracker& aCrashes,
                                         const job_id& aJob) const;
 };
 
@@ -66,14 +66,14 @@
   // aProposed: starts that are not yet applied, and their workers.
   suspect_summary Summarize(const flow_state& aState,
                             const std::map<task_ref, worker_number>& aProposed,
-                            const newly_started_predicate& aIsFresh,
+                            const newly_started_predicate& aIsNewlyStarted,
                             time_point aNow);
 
 private:
-  [[nodiscard]] bool IsHeld(const crash_tracker& aBook,
-                            const task_ref& aTask,
-                            std::uint32_t aLosses,
-                            time_point aNow);
+  [[nodiscard]] bool IsBlocked(const crash_tracker& aCrashes,
+                               const task_ref& aTask,
+                               std::uint32_t aLosses,
+                               time_point aNow);
 
   std::map<task_ref, time_point> mLostAt;
 };
--- a/oriolewalk/flow/worker_health.cc
+++ b/oriolewalk/flow/worker_health.cc
@@ -8,18 +8,18 @@
 
 // One in twenty tasks fails by its own fault; two in a row on one worker happen
 // by chance once in four hundred times.
-constexpr int kFailuresInRow = 2;
+constexpr int kMinFailuresInRow = 2;
 // How long a failing worker is avoided. Each further failure in a row doubles
 // the time, up to kMaxDoublings times. Faults of workers last for several
 // seconds.
-constexpr milliseconds kFirstPause{ 1'500 };
-constexpr int kMostDoublings = 2;
+constexpr milliseconds kFailureAvoidance{ 1'500 };
+constexpr int kMaxDoublings = 2;
 // A stalled task indicates that its worker has stalled.
-constexpr milliseconds kStalledPause{ 4'000 };
+constexpr milliseconds kStallAvoidance{ 4'000 };
 // Weight of one sample in a moving average over about five ends.
-constexpr double kLearning = 0.2;
-constexpr double kLeastSpeed = 0.2;
-constexpr double kMostSpeed = 2;
+constexpr double kSampleWeight = 0.2;
+constexpr double kMinSpeed = 0.2;
+constexpr double kMaxSpeed = 2;
 
 } // namespace
 
@@ -37,10 +37,10 @@
     return;
   }
   ++worker.mFailuresInRow;
-  if (worker.mFailuresInRow >= kFailuresInRow) {
+  if (worker.mFailuresInRow >= kMinFailuresInRow) {
     const int doublings =
-      std::min(worker.mFailuresInRow - kFailuresInRow, kMostDoublings);
-    worker.mAvoidedUntil = aNow + kFirstPause * (1 << doublings);
+      std::min(worker.mFailuresInRow - kMinFailuresInRow, kMaxDoublings);
+    worker.mAvoidedUntil = aNow + kFailureAvoidance * (1 << doublings);
   }
 }
 
@@ -51,15 +51,15 @@
     return;
   }
   record& worker = mWorkers[aWorker];
-  const double seen = std::clamp(1 / aRatio, kLeastSpeed, kMostSpeed);
-  worker.mSpeed += kLearning * (seen - worker.mSpeed);
+  const double seen = std::clamp(1 / aRatio, kMinSpeed, kMaxSpeed);
+  worker.mSpeed += kSampleWeight * (seen - worker.mSpeed);
 }
 
 void
 worker_health::OnStall(worker_number aWorker, time_point aNow)
 {
   record& worker = mWorkers[aWorker];
-  worker.mAvoidedUntil = std::max(worker.mAvoidedUntil, aNow + kStalledPause);
+  worker.mAvoidedUntil = std::max(worker.mAvoidedUntil, aNow + kStallAvoidance);
 }
 
 worker_standing
