--- a/testing/flow/relay_assignment_test.cc
+++ b/testing/flow/relay_assignment_test.cc
@@ -18,40 +18,40 @@
 constexpr time_point kStart{ seconds(100) };
 
 std::map<std::string, int>
-Shares(const relay_assignment& aChoice, worker_number aWorkers)
+WorkersByRelay(const relay_assignment& aAssignment, worker_number aWorkers)
 {
-  std::map<std::string, int> shares;
+  std::map<std::string, int> workersByRelay;
   for (worker_number worker = 1; worker <= aWorkers; ++worker) {
-    ++shares[aChoice.RelayFor(worker)];
+    ++workersByRelay[aAssignment.RelayFor(worker)];
   }
-  return shares;
+  return workersByRelay;
 }
 
 } // namespace
 
 TEST_CASE("the leader of a small cell makes all calls itself")
 {
-  relay_assignment choice(400);
-  choice.Update(kOthers, 350, kStart);
-  CHECK(choice.RelayFor(1).empty());
+  relay_assignment assignment(400);
+  assignment.Update(kOthers, 350, kStart);
+  CHECK(assignment.RelayFor(1).empty());
 }
 
 TEST_CASE("without any other control process the leader makes the calls")
 {
-  relay_assignment choice(400);
-  choice.Update({}, 1'100, kStart);
-  CHECK(choice.RelayFor(1).empty());
+  relay_assignment assignment(400);
+  assignment.Update({}, 1'100, kStart);
+  CHECK(assignment.RelayFor(1).empty());
 }
 
 TEST_CASE("the workers of a large cell are spread evenly over relays")
 {
   // A process that called all 1,100 workers would need five descriptors for
   // each of them, more than its limit, and could open no file on its disk.
-  relay_assignment choice(400);
-  choice.Update(kOthers, 1'100, kStart);
-  const auto shares = Shares(choice, 1'100);
-  CHECK(shares.size() == 5);
-  for (const auto& [address, workers] : shares) {
+  relay_assignment assignment(400);
+  assignment.Update(kOthers, 1'100, kStart);
+  const auto workersByRelay = WorkersByRelay(assignment, 1'100);
+  CHECK(workersByRelay.size() == 5);
+  for (const auto& [address, workers] : workersByRelay) {
     CHECK_FALSE(address.empty());
     CHECK(workers < 300);
   }
@@ -63,19 +63,19 @@
   // be sent again at once, over as many new connections.
   relay_assignment before(400);
   before.Update(kOthers, 1'100, kStart);
-  relay_assignment choice = before;
+  relay_assignment assignment = before;
   const std::string& lost = kOthers[2];
-  choice.OnRelayFailure(lost, kStart);
+  assignment.OnRelayFailure(lost, kStart);
   for (worker_number worker = 1; worker <= 1'100; ++worker) {
-    CHECK(choice.RelayFor(worker) != lost);
+    CHECK(assignment.RelayFor(worker) != lost);
     if (before.RelayFor(worker) != lost) {
-      CHECK(choice.RelayFor(worker) == before.RelayFor(worker));
+      CHECK(assignment.RelayFor(worker) == before.RelayFor(worker));
     }
   }
-  choice.Update(kOthers, 1'100, kStart + milliseconds(500));
-  CHECK_FALSE(Shares(choice, 1'100).contains(lost));
-  choice.Update(kOthers, 1'100, kStart + seconds(3));
-  CHECK(Shares(choice, 1'100) == Shares(before, 1'100));
+  assignment.Update(kOthers, 1'100, kStart + milliseconds(500));
+  CHECK_FALSE(WorkersByRelay(assignment, 1'100).contains(lost));
+  assignment.Update(kOthers, 1'100, kStart + seconds(3));
+  CHECK(WorkersByRelay(assignment, 1'100) == WorkersByRelay(before, 1'100));
 }
 
 } // namespace oriolewalk::flow
--- a/testing/flow/worker_health_test.cc
+++ b/testing/flow/worker_health_test.cc
@@ -50,36 +50,38 @@
 {
   // Tasks stall on one worker although their siblings ended long ago: the step,
   // and the job's caller, would wait for them.
-  straggler_detector watch;
+  straggler_detector detector;
   const job_id job("00");
   const run_ref quick = state_builder::Run(job, 1, 0);
   const run_ref slow = state_builder::Run(job, 1, 1);
-  watch.OnRunStarted(quick, kStart);
-  watch.OnRunStarted(slow, kStart);
+  detector.OnRunStarted(quick, kStart);
+  detector.OnRunStarted(slow, kStart);
   CHECK_FALSE(
-    watch.MarkIfStraggler(slow, kStart + seconds(60))); // no sibling ended
-  CHECK_FALSE(watch.OnRunEnded(quick, run_outcome::Done, kStart + seconds(1)));
-  CHECK_FALSE(watch.MarkIfStraggler(slow, kStart + seconds(4)));
-  CHECK(watch.MarkIfStraggler(slow, kStart + seconds(6)));
+    detector.MarkIfStraggler(slow, kStart + seconds(60))); // no sibling ended
+  CHECK_FALSE(
+    detector.OnRunEnded(quick, run_outcome::Done, kStart + seconds(1)));
+  CHECK_FALSE(detector.MarkIfStraggler(slow, kStart + seconds(4)));
+  CHECK(detector.MarkIfStraggler(slow, kStart + seconds(6)));
   for (attempt_t attempt = 2; attempt <= 4; ++attempt) {
     const run_ref again = state_builder::Run(job, attempt, 1);
-    watch.OnRunStarted(again, kStart);
-    CHECK(watch.MarkIfStraggler(again, kStart + seconds(30)) == (attempt == 2));
+    detector.OnRunStarted(again, kStart);
+    CHECK(detector.MarkIfStraggler(again, kStart + seconds(30)) ==
+          (attempt == 2));
   }
 }
 
 TEST_CASE("a run's duration is compared with its siblings'")
 {
-  straggler_detector watch;
+  straggler_detector detector;
   const job_id job("00");
   for (std::uint32_t index = 0; index < 3; ++index) {
-    watch.OnRunStarted(state_builder::Run(job, 1, index), kStart);
+    detector.OnRunStarted(state_builder::Run(job, 1, index), kStart);
   }
-  CHECK_FALSE(watch.OnRunEnded(
+  CHECK_FALSE(detector.OnRunEnded(
     state_builder::Run(job, 1, 0), run_outcome::Done, kStart + seconds(1)));
-  CHECK_FALSE(watch.OnRunEnded(
+  CHECK_FALSE(detector.OnRunEnded(
     state_builder::Run(job, 1, 1), run_outcome::Failed, kStart + seconds(1)));
-  const auto ratio = watch.OnRunEnded(
+  const auto ratio = detector.OnRunEnded(
     state_builder::Run(job, 1, 2), run_outcome::Done, kStart + seconds(2));
   REQUIRE(ratio);
   CHECK(*ratio == Approx(2));
