--- a/bench/flow_bench.cc
+++ b/bench/flow_bench.cc
@@ -95,9 +95,10 @@
   aReport.Add(aName + ".largest_in_time",
               share(aQueue.mLargestInTime, aQueue.mLargest),
               "share");
-  constexpr double kMost = 0.95;
-  aReport.Add(
-    aName + ".first_start_p95", Quantile(aQueue.mFirstStartMs, kMost), "ms");
+  constexpr double kTailQuantile = 0.95;
+  aReport.Add(aName + ".first_start_p95",
+              Quantile(aQueue.mFirstStartMs, kTailQuantile),
+              "ms");
 }
 
 void
@@ -126,27 +127,28 @@
     aReport.Add(std::move(figure), ms / kMsPerSecond, "s");
   }
   aReport.Add(
-    aName + ".questions", static_cast<double>(aOne.mQuestions), "questions");
+    aName + ".questions", static_cast<double>(aOne.mQueries), "questions");
   aReport.Add(aName + ".advice", aOne.mAdviceMs / kMsPerSecond, "s");
   aReport.Add(
-    aName + ".thrown_away", aOne.mThrownAwayMs / kMsPerSecond, "task s");
+    aName + ".thrown_away", aOne.mLostWorkMs / kMsPerSecond, "task s");
   aReport.Add(
-    aName + ".over_booked", static_cast<double>(aOne.mOverBooked), "starts");
+    aName + ".over_booked", static_cast<double>(aOne.mOverCapacity), "starts");
   aReport.Add(aName + ".decisions", aOne.mDecisionMs, "processor ms");
   aReport.Add(aName + ".starts", static_cast<double>(aOne.mStarts), "starts");
 }
 
 void
-PlayScene(bench_report& aReport,
-          const flow_scene& aScene,
-          const named_policy& aPolicy)
+RunScenario(bench_report& aReport,
+            const flow_scenario& aScenario,
+            const named_policy& aPolicy)
 {
   const std::string name =
-    "workers_" + aScene.mName + "." + std::string(aPolicy.mName);
+    "workers_" + aScenario.mName + "." + std::string(aPolicy.mName);
   std::map<std::string, queue_outcome> queues;
   queue_outcome all;
   for (const std::uint64_t seed : kSeeds) {
-    const flow_outcome one = PlayLoad(MakeLoad(aScene, seed), aPolicy.mPolicy);
+    const flow_outcome one =
+      SimulateLoad(MakeLoad(aScenario, seed), aPolicy.mPolicy);
     for (const auto& [queue, outcome] : one.mQueues) {
       Add(queues[queue], outcome);
       Add(all, outcome);
@@ -162,14 +164,14 @@
 }
 
 const registered_bench kFlow("flow", [](bench_report& aReport) {
-  const std::vector<flow_scene> scenes = FlowScenes();
+  const std::vector<flow_scenario> scenarios = FlowScenarios();
   for (const named_policy& policy : Policies()) {
-    PlayScene(aReport, scenes.front(), policy);
+    RunScenario(aReport, scenarios.front(), policy);
   }
   // The larger scenarios use only the product's policy, to show what decisions
   // cost there.
-  for (const flow_scene& larger : scenes | std::views::drop(1)) {
-    PlayScene(aReport, larger, Policies().front());
+  for (const flow_scenario& larger : scenarios | std::views::drop(1)) {
+    RunScenario(aReport, larger, Policies().front());
   }
 });
 
--- a/bench/flow_driver.cc
+++ b/bench/flow_driver.cc
@@ -22,15 +22,15 @@
 
 namespace {
 
-constexpr milliseconds kCommit{ 8 };
-constexpr milliseconds kWay{ 1 };
-constexpr milliseconds kTick{ 5 };
-constexpr milliseconds kBeat{ 1'500 };
+constexpr milliseconds kCommitDelay{ 8 };
+constexpr milliseconds kOneWayDelay{ 1 };
+constexpr milliseconds kTickInterval{ 5 };
+constexpr milliseconds kHeartbeatInterval{ 1'500 };
 // Time after the last arrival; a job that isn't done by then counts as never
 // done.
-constexpr seconds kAfterwards{ 30 };
+constexpr seconds kGracePeriod{ 30 };
 constexpr milliseconds kCancelAfter{ 1'000 };
-constexpr milliseconds kNextLeader{ 1'000 };
+constexpr milliseconds kElectionDelay{ 1'000 };
 constexpr double kLateFactor = 3;
 
 double
@@ -46,10 +46,10 @@
   return kMsPerSecond * static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-class player
+class simulation
 {
 public:
-  player(const flow_load& aLoad, const flow::plan_policy& aPolicy)
+  simulation(const flow_load& aLoad, const flow::plan_policy& aPolicy)
     : mLoad(aLoad)
   {
     mOptions.mPlan = aPolicy;
@@ -61,7 +61,7 @@
   flow_outcome Run()
   {
     SetUp();
-    const time_point end{ kPlayed + kAfterwards };
+    const time_point end{ kArrivalSpan + kGracePeriod };
     while (!mEvents.empty() && mEvents.top().mAt < end) {
       const event next = mEvents.top();
       mEvents.pop();
@@ -69,7 +69,7 @@
       next.mDo();
       Decide();
     }
-    Judge();
+    Evaluate();
     return std::move(mOutcome);
   }
 
@@ -86,18 +86,18 @@
     }
   };
 
-  struct waiting_look
+  struct open_poll
   {
     std::uint64_t mOrder = 0;
     time_point mUntil{};
   };
 
-  struct life
+  struct worker_slot
   {
     std::unique_ptr<simulated_worker> mWorker;
-    std::optional<waiting_look> mLook;
-    std::int64_t mBeat = 0;
-    bool mGone = false;
+    std::optional<open_poll> mPoll;
+    std::int64_t mHeartbeats = 0;
+    bool mLost = false;
   };
 
   [[nodiscard]] flow::instant Instant() const
@@ -117,8 +117,8 @@
     for (const job_id& id : outcome.mEndedJobs) {
       mEndedAt[id] = mNow;
     }
-    if (mLead) {
-      mLead->OnApplied(aBody, outcome);
+    if (mLeader) {
+      mLeader->OnApplied(aBody, outcome);
     }
     if (aThen) {
       aThen(outcome);
@@ -130,7 +130,7 @@
     flow::queue_table table;
     table.mVersion = 1;
     std::set<service_id> services;
-    for (const job_kind& kind : mLoad.mScene.mKinds) {
+    for (const job_kind& kind : mLoad.mScenario.mKinds) {
       table.mQueues.push_back(kind.mQueue);
       services.insert(kind.mQueue.mService);
     }
@@ -138,22 +138,22 @@
       table.mServices.push_back({ service, false, false });
     }
     Apply(flow::put_table{ table, "source" }, {});
-    Lead();
-    for (const flow::worker_description& facts : mLoad.mWorkers) {
-      life& made = mWorkers[facts.mId];
-      made.mWorker = std::make_unique<simulated_worker>(
-        facts, mLoad.mSeed, mLoad.mScene.mSlowShare);
-      At(time_point{}, [this, &made]() { Beat(made); });
-      if (Drawn(mLoad.mSeed, "lost", facts.mId.Value()) <
-          mLoad.mScene.mLostShare) {
-        At(time_point{ kLostAt }, [&made]() { made.mGone = true; });
+    StartLeader();
+    for (const flow::worker_description& description : mLoad.mWorkers) {
+      worker_slot& slot = mWorkers[description.mId];
+      slot.mWorker = std::make_unique<simulated_worker>(
+        description, mLoad.mSeed, mLoad.mScenario.mSlowShare);
+      At(time_point{}, [this, &slot]() { SendHeartbeat(slot); });
+      if (SeededFraction(mLoad.mSeed, "lost", description.mId.Value()) <
+          mLoad.mScenario.mLostShare) {
+        At(time_point{ kLostAt }, [&slot]() { slot.mLost = true; });
       }
     }
     for (const arrival& job : mLoad.mArrivals) {
       At(time_point{ job.mAt }, [this, &job]() { Submit(job); });
     }
     At(time_point{}, [this]() { Tick(); });
-    if (mLoad.mScene.mLeaderLost) {
+    if (mLoad.mScenario.mLeaderLost) {
       At(time_point{ kLeaderLostAt }, [this]() { LoseLeader(); });
     }
   }
@@ -161,18 +161,18 @@
   // Whatever a leader has not committed is lost with it.
   void LoseLeader()
   {
-    mLead.reset();
+    mLeader.reset();
     ++mTerm;
-    At(mNow + kNextLeader, [this]() { Lead(); });
+    At(mNow + kElectionDelay, [this]() { StartLeader(); });
   }
 
-  void Lead()
+  void StartLeader()
   {
     flow::leader_port port;
     const std::uint64_t term = mTerm;
     port.mPropose = [this, term](flow::command_body aBody,
                                  flow::leader_port::on_applied aThen) {
-      At(mNow + kCommit,
+      At(mNow + kCommitDelay,
          [this, term, body = std::move(aBody), then = std::move(aThen)]() {
            if (term == mTerm) {
              Apply(body, then);
@@ -182,28 +182,30 @@
     };
     port.mAnswer = [](flow::call_number, const flow::flow_answer&) {};
     port.mFail = [](flow::call_number, const error&) {};
-    port.mLogDecision = [this](const flow::decision& aNote) { Note(aNote); };
+    port.mLogDecision = [this](const flow::decision& aDecision) {
+      LogDecision(aDecision);
+    };
     port.mMembers = [this]() { return Advisors(); };
-    mLead = std::make_unique<flow::leader_core>(
+    mLeader = std::make_unique<flow::leader_core>(
       mState, mOptions, std::move(port), mTerm, Instant(), mNow);
   }
 
   [[nodiscard]] std::vector<std::string> Advisors() const
   {
     std::vector<std::string> all;
-    for (std::size_t at = 0; at < mLoad.mScene.mAdvisors; ++at) {
+    for (std::size_t at = 0; at < mLoad.mScenario.mAdvisors; ++at) {
       all.push_back("advisor-" + std::to_string(at));
     }
     return all;
   }
 
-  void Note(const flow::decision& aNote)
+  void LogDecision(const flow::decision& aDecision)
   {
-    ++mOutcome.mEvents[std::string(aNote.mEvent)];
-    if (aNote.mEvent != "step.waited") {
+    ++mOutcome.mEvents[std::string(aDecision.mEvent)];
+    if (aDecision.mEvent != "step.waited") {
       return;
     }
-    for (const auto& [name, value] : aNote.mFields) {
+    for (const auto& [name, value] : aDecision.mFields) {
       if (name != "job" && name != "step") {
         mOutcome.mWaitMs[std::string(name)] += std::atof(value.c_str());
       }
@@ -211,141 +213,143 @@
   }
 
   // Sends a request to the leader; without a leader it is repeated later.
-  void Ask(const flow::flow_request& aRequest)
+  void SendRequest(const flow::flow_request& aRequest)
   {
-    if (mLead) {
-      mLead->SetTime(Instant());
-      mLead->HandleRequest(++mLastCall, aRequest);
+    if (mLeader) {
+      mLeader->SetTime(Instant());
+      mLeader->HandleRequest(++mLastCall, aRequest);
       return;
     }
     constexpr milliseconds kAgain{ 300 };
-    At(mNow + kAgain, [this, aRequest]() { Ask(aRequest); });
+    At(mNow + kAgain, [this, aRequest]() { SendRequest(aRequest); });
   }
 
   void Submit(const arrival& aJob)
   {
-    const flow::queue_row& queue = mLoad.mScene.mKinds[aJob.mKind].mQueue;
+    const flow::queue_row& queue = mLoad.mScenario.mKinds[aJob.mKind].mQueue;
     const flow::caller_path place{ queue.mHost,
                                    queue.mPrefix + aJob.mId.Value() };
-    Ask(flow::job_submission{ place, aJob.mSpec });
-    if (aJob.mCancelled) {
+    SendRequest(flow::job_submission{ place, aJob.mSpec });
+    if (aJob.mIsCancelled) {
       At(mNow + kCancelAfter,
-         [this, place]() { Ask(flow::job_cancellation{ place }); });
+         [this, place]() { SendRequest(flow::job_cancellation{ place }); });
     }
   }
 
-  void Beat(life& aLife)
+  void SendHeartbeat(worker_slot& aSlot)
   {
-    if (aLife.mGone) {
+    if (aSlot.mLost) {
       return;
     }
-    flow::worker_heartbeat beat;
-    beat.mDescription = aLife.mWorker->Facts();
-    beat.mSequence = ++aLife.mBeat;
-    beat.mClockMs = Instant().mWallMs;
-    Ask(beat);
-    At(mNow + kBeat, [this, &aLife]() { Beat(aLife); });
+    flow::worker_heartbeat heartbeat;
+    heartbeat.mDescription = aSlot.mWorker->Description();
+    heartbeat.mSequence = ++aSlot.mHeartbeats;
+    heartbeat.mClockMs = Instant().mWallMs;
+    SendRequest(heartbeat);
+    At(mNow + kHeartbeatInterval, [this, &aSlot]() { SendHeartbeat(aSlot); });
   }
 
   void Tick()
   {
-    if (mLead) {
-      mLead->SetTime(Instant());
-      mLead->Tick();
+    if (mLeader) {
+      mLeader->SetTime(Instant());
+      mLeader->Tick();
     }
-    At(mNow + kTick, [this]() { Tick(); });
+    At(mNow + kTickInterval, [this]() { Tick(); });
   }
 
   void Decide()
   {
-    if (!mLead) {
+    if (!mLeader) {
       return;
     }
     const double before = ProcessorMs();
-    mLead->SetTime(Instant());
-    mLead->PlanIfDue();
+    mLeader->SetTime(Instant());
+    mLeader->PlanIfDue();
     mOutcome.mDecisionMs += ProcessorMs() - before;
-    for (flow::worker_order& order : mLead->TakeOrders()) {
-      At(mNow + kWay, [this, sent = std::move(order)]() { Carry(sent); });
+    for (flow::worker_order& order : mLeader->TakeOrders()) {
+      At(mNow + kOneWayDelay,
+         [this, sent = std::move(order)]() { Deliver(sent); });
     }
-    for (flow::advice_call& question : mLead->TakeAdviceCalls()) {
-      AskPolicy(question);
+    for (flow::advice_call& query : mLeader->TakeAdviceCalls()) {
+      QueryPolicy(query);
     }
   }
 
-  void AskPolicy(const flow::advice_call& aQuestion)
+  void QueryPolicy(const flow::advice_call& aQuery)
   {
-    const flow::step_ref& step = aQuestion.mRequest.mStep;
+    const flow::step_ref& step = aQuery.mRequest.mStep;
     const flow::job_record* job = mState.FindJob(step.mJob);
     const std::size_t kind = mJobs.at(step.mJob)->mKind;
     const flow::advice_timing& terms = *mState.QueueOf(*job).mAdvice;
     flow::approvals approved;
-    for (const worker_id& worker : aQuestion.mRequest.mWorkers) {
+    for (const worker_id& worker : aQuery.mRequest.mWorkers) {
       const std::string where =
         step.mJob.Value() + "." + std::to_string(step.mStep) + worker.Value();
-      if (Drawn(mLoad.mSeed, "approved", where) <
-          mLoad.mScene.mKinds[kind].mApproved) {
+      if (SeededFraction(mLoad.mSeed, "approved", where) <
+          mLoad.mScenario.mKinds[kind].mApprovedShare) {
         approved.push_back({ worker, "ticket" });
       }
     }
-    const milliseconds takes =
-      flow::AdviceTime(terms, aQuestion.mRequest.mWorkers.size());
-    ++mOutcome.mQuestions;
-    mOutcome.mAdviceMs += ToMs(takes);
-    mOutcome.mNamed += aQuestion.mRequest.mWorkers.size();
-    At(mNow + takes + kWay,
-       [this, term = mTerm, id = aQuestion.mId, approved]() {
-         if (mLead && term == mTerm) {
-           mLead->SetTime(Instant());
-           mLead->OnAdviceAnswer(id, approved);
+    const milliseconds took =
+      flow::AdviceTime(terms, aQuery.mRequest.mWorkers.size());
+    ++mOutcome.mQueries;
+    mOutcome.mAdviceMs += ToMs(took);
+    mOutcome.mQueriedWorkers += aQuery.mRequest.mWorkers.size();
+    At(mNow + took + kOneWayDelay,
+       [this, term = mTerm, id = aQuery.mId, approved]() {
+         if (mLeader && term == mTerm) {
+           mLeader->SetTime(Instant());
+           mLeader->OnAdviceAnswer(id, approved);
          }
        });
   }
 
   void Answer(std::uint64_t aOrder, flow::order_answer aAnswer)
   {
-    At(mNow + kWay,
+    At(mNow + kOneWayDelay,
        [this, term = mTerm, aOrder, answer = std::move(aAnswer)]() {
-         if (mLead && term == mTerm) {
-           mLead->SetTime(Instant());
-           mLead->OnOrderAnswer(aOrder, answer);
+         if (mLeader && term == mTerm) {
+           mLeader->SetTime(Instant());
+           mLeader->OnOrderAnswer(aOrder, answer);
          }
        });
   }
 
-  void Carry(const flow::worker_order& aOrder)
+  void Deliver(const flow::worker_order& aOrder)
   {
-    life& there = mWorkers.at(aOrder.mWorkerId);
-    if (there.mGone) {
+    worker_slot& slot = mWorkers.at(aOrder.mWorkerId);
+    if (slot.mLost) {
       Answer(aOrder.mId, {});
       return;
     }
-    simulated_worker& worker = *there.mWorker;
+    simulated_worker& worker = *slot.mWorker;
     worker.Advance(mNow);
-    std::visit(overloaded{
-                 [&](const flow::start_order& aStart) {
-                   flow::order_answer answer;
-                   answer.mResult =
-                     worker.Start(aStart, WorkOf(aStart.mRun.mTask), mNow);
-                   answer.mClockMs = Instant().mWallMs;
-                   NoteStart(aStart.mRun.mTask);
-                   Answer(aOrder.mId, answer);
-                 },
-                 [&](const flow::stop_order& aStop) {
-                   worker.Stop(aStop, mNow);
-                   Answer(aOrder.mId, Plain());
-                 },
-                 [&](const flow::poll_order& aLook) {
-                   worker.Acknowledge(aLook.mCursor);
-                   Look(there, aOrder.mId, milliseconds(aLook.mWaitMs));
-                 },
-                 [&](const flow::pace_order&) { Answer(aOrder.mId, Plain()); },
-               },
-               aOrder.mBody);
-    Watch(there);
+    std::visit(
+      overloaded{
+        [&](const flow::start_order& aStart) {
+          flow::order_answer answer;
+          answer.mResult =
+            worker.Start(aStart, WorkOf(aStart.mRun.mTask), mNow);
+          answer.mClockMs = Instant().mWallMs;
+          RecordStart(aStart.mRun.mTask);
+          Answer(aOrder.mId, answer);
+        },
+        [&](const flow::stop_order& aStop) {
+          worker.Stop(aStop, mNow);
+          Answer(aOrder.mId, DoneAnswer());
+        },
+        [&](const flow::poll_order& aPoll) {
+          worker.Acknowledge(aPoll.mCursor);
+          Poll(slot, aOrder.mId, milliseconds(aPoll.mWaitMs));
+        },
+        [&](const flow::pace_order&) { Answer(aOrder.mId, DoneAnswer()); },
+      },
+      aOrder.mBody);
+    ScheduleNextEnd(slot);
   }
 
-  [[nodiscard]] flow::order_answer Plain() const
+  [[nodiscard]] flow::order_answer DoneAnswer() const
   {
     flow::order_answer answer;
     answer.mResult = flow::order_result::Done;
@@ -353,36 +357,36 @@
     return answer;
   }
 
-  void Look(life& aLife, std::uint64_t aOrder, duration aWait)
+  void Poll(worker_slot& aSlot, std::uint64_t aOrder, duration aWait)
   {
-    if (aWait == duration::zero() || aLife.mWorker->HasEnds()) {
-      Answer(aOrder, aLife.mWorker->Listing(mNow));
+    if (aWait == duration::zero() || aSlot.mWorker->HasEnds()) {
+      Answer(aOrder, aSlot.mWorker->Listing(mNow));
       return;
     }
-    aLife.mLook = waiting_look{ aOrder, mNow + aWait };
-    At(mNow + aWait, [this, &aLife]() { EndLook(aLife); });
+    aSlot.mPoll = open_poll{ aOrder, mNow + aWait };
+    At(mNow + aWait, [this, &aSlot]() { FinishPoll(aSlot); });
   }
 
   // Answers the open poll if a run has ended or the poll's time is over.
-  void EndLook(life& aLife)
+  void FinishPoll(worker_slot& aSlot)
   {
-    if (aLife.mGone || !aLife.mLook) {
+    if (aSlot.mLost || !aSlot.mPoll) {
       return;
     }
-    aLife.mWorker->Advance(mNow);
-    if (aLife.mWorker->HasEnds() || mNow >= aLife.mLook->mUntil) {
-      Answer(aLife.mLook->mOrder, aLife.mWorker->Listing(mNow));
-      aLife.mLook.reset();
+    aSlot.mWorker->Advance(mNow);
+    if (aSlot.mWorker->HasEnds() || mNow >= aSlot.mPoll->mUntil) {
+      Answer(aSlot.mPoll->mOrder, aSlot.mWorker->Listing(mNow));
+      aSlot.mPoll.reset();
     }
   }
 
-  void Watch(life& aLife)
+  void ScheduleNextEnd(worker_slot& aSlot)
   {
-    if (const auto next = aLife.mWorker->NextEnd()) {
-      At(std::max(mNow, *next), [this, &aLife]() {
-        EndLook(aLife);
-        if (!aLife.mGone) {
-          aLife.mWorker->Advance(mNow);
+    if (const auto next = aSlot.mWorker->NextEnd()) {
+      At(std::max(mNow, *next), [this, &aSlot]() {
+        FinishPoll(aSlot);
+        if (!aSlot.mLost) {
+          aSlot.mWorker->Advance(mNow);
         }
       });
     }
@@ -396,19 +400,19 @@
              step.Booked(),
              step.mCheckpoints,
              step.mLongRunning,
-             mLoad.mScene.mKinds[job.mKind].mFails };
+             mLoad.mScenario.mKinds[job.mKind].mFailureShare };
   }
 
-  void NoteStart(const flow::task_ref& aTask)
+  void RecordStart(const flow::task_ref& aTask)
   {
     ++mOutcome.mStarts;
-    mBegunAt.try_emplace(aTask.mJob, mNow);
+    mStartedAt.try_emplace(aTask.mJob, mNow);
   }
 
   // The objective, based on the actual work instead of the estimate.
   [[nodiscard]] double ObjectiveMs(const arrival& aJob) const
   {
-    const flow::queue_row& queue = mLoad.mScene.mKinds[aJob.mKind].mQueue;
+    const flow::queue_row& queue = mLoad.mScenario.mKinds[aJob.mKind].mQueue;
     double chain = 0;
     for (const auto& step : aJob.mWorkMs) {
       chain += std::ranges::max(step);
@@ -429,7 +433,7 @@
     return whole;
   }
 
-  void Judge()
+  void Evaluate()
   {
     std::map<std::size_t, std::vector<double>> sizes;
     for (const arrival& job : mLoad.mArrivals) {
@@ -439,39 +443,39 @@
       std::ranges::sort(all);
     }
     for (const arrival& job : mLoad.mArrivals) {
-      if (!job.mHopeless && !job.mCancelled) {
+      if (!job.mIsInfeasible && !job.mIsCancelled) {
         constexpr std::size_t kTenth = 10;
         const auto& all = sizes[job.mKind];
         const double large = all[all.size() - 1 - all.size() / kTenth];
-        JudgeJob(job, ProcessorTime(job) > large);
+        EvaluateJob(job, ProcessorTime(job) > large);
       }
     }
-    for (const auto& [id, there] : mWorkers) {
-      mOutcome.mThrownAwayMs += there.mWorker->ThrownAwayMs();
-      mOutcome.mOverBooked += there.mWorker->OverBooked();
+    for (const auto& [id, slot] : mWorkers) {
+      mOutcome.mLostWorkMs += slot.mWorker->LostWorkMs();
+      mOutcome.mOverCapacity += slot.mWorker->OverCapacity();
     }
   }
 
-  void JudgeJob(const arrival& aJob, bool aLarge)
+  void EvaluateJob(const arrival& aJob, bool aLarge)
   {
-    const job_kind& kind = mLoad.mScene.mKinds[aJob.mKind];
+    const job_kind& kind = mLoad.mScenario.mKinds[aJob.mKind];
     queue_outcome& queue = mOutcome.mQueues[kind.mQueue.mName];
     ++queue.mJobs;
     queue.mLargest += aLarge ? 1 : 0;
-    const auto begun = mBegunAt.find(aJob.mId);
-    if (begun != mBegunAt.end()) {
+    const auto started = mStartedAt.find(aJob.mId);
+    if (started != mStartedAt.end()) {
       queue.mFirstStartMs.push_back(
-        ToMs(begun->second - time_point{ aJob.mAt }));
+        ToMs(started->second - time_point{ aJob.mAt }));
     }
     // Long-running jobs are judged by their first start.
-    const auto& ends = kind.mLasting ? mBegunAt : mEndedAt;
+    const auto& ends = kind.mLongRunning ? mStartedAt : mEndedAt;
     const auto ended = ends.find(aJob.mId);
     if (ended == ends.end()) {
       ++queue.mNever;
       return;
     }
     const double took = ToMs(ended->second - time_point{ aJob.mAt });
-    const double objective = kind.mLasting
+    const double objective = kind.mLongRunning
                                ? static_cast<double>(kind.mQueue.mTargetMs)
                                : ObjectiveMs(aJob);
     queue.mInTime += took <= objective ? 1 : 0;
@@ -483,15 +487,15 @@
   const flow_load& mLoad;
   flow::flow_options mOptions;
   flow::flow_state mState;
-  std::unique_ptr<flow::leader_core> mLead;
+  std::unique_ptr<flow::leader_core> mLeader;
   std::uint64_t mTerm = 1;
   time_point mNow{};
   std::priority_queue<event> mEvents;
   std::uint64_t mLastEvent = 0;
   flow::call_number mLastCall = 0;
   std::map<job_id, const arrival*> mJobs;
-  std::map<worker_id, life> mWorkers;
-  std::map<job_id, time_point> mBegunAt;
+  std::map<worker_id, worker_slot> mWorkers;
+  std::map<job_id, time_point> mStartedAt;
   std::map<job_id, time_point> mEndedAt;
   flow_outcome mOutcome;
 };
@@ -499,9 +503,9 @@
 } // namespace
 
 flow_outcome
-PlayLoad(const flow_load& aLoad, const flow::plan_policy& aPolicy)
+SimulateLoad(const flow_load& aLoad, const flow::plan_policy& aPolicy)
 {
-  return player(aLoad, aPolicy).Run();
+  return simulation(aLoad, aPolicy).Run();
 }
 
 } // namespace oriolewalk::bench
--- a/bench/flow_driver.h
+++ b/bench/flow_driver.h
@@ -36,16 +36,16 @@
   std::map<std::string, queue_outcome> mQueues;
   std::map<std::string, double> mWaitMs;      // of steps, by cause
   std::map<std::string, std::size_t> mEvents; // log lines, by event
-  double mThrownAwayMs = 0; // task time of work that no checkpoint saved
-  std::size_t mQuestions = 0;
+  double mLostWorkMs = 0; // task time of work that no checkpoint saved
+  std::size_t mQueries = 0;
   double mAdviceMs = 0; // the policy service's work
-  std::size_t mNamed = 0;
-  std::size_t mOverBooked = 0; // starts beyond a worker's capacity
-  double mDecisionMs = 0;      // processor time of all decisions, measured
+  std::size_t mQueriedWorkers = 0;
+  std::size_t mOverCapacity = 0; // starts beyond a worker's capacity
+  double mDecisionMs = 0;        // processor time of all decisions, measured
   std::size_t mStarts = 0;
 };
 
 flow_outcome
-PlayLoad(const flow_load& aLoad, const flow::plan_policy& aPolicy);
+SimulateLoad(const flow_load& aLoad, const flow::plan_policy& aPolicy);
 
 } // namespace oriolewalk::bench
--- a/bench/flow_scenario.cc
+++ b/bench/flow_scenario.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t kIdDigits = 16;
-constexpr double kMostTimesMean = 2.5;
+constexpr double kMaxTimesMean = 2.5;
 
 flow::queue_row
 Queue(std::string aName,
@@ -38,7 +38,7 @@
 }
 
 // By how much a scenario is larger than the smallest one.
-struct scene_scale
+struct scenario_scale
 {
   double mRate = 1;
   double mWidth = 1;
@@ -46,7 +46,7 @@
 };
 
 flow::advice_timing
-Terms(double aBaseMs, const scene_scale& aScale)
+Terms(double aBaseMs, const scenario_scale& aScale)
 {
   constexpr double kWorkersForBase = 70;
   const double base = aBaseMs * aScale.mAdvice;
@@ -54,7 +54,7 @@
 }
 
 job_kind
-Urgent(const scene_scale& aScale)
+Urgent(const scenario_scale& aScale)
 {
   job_kind kind;
   kind.mQueue = Queue("urgent", "plain", 0, 1.5, 250, Terms(18, aScale));
@@ -64,14 +64,14 @@
   kind.mMeanMs = 880;
   kind.mMilliProcessors = 6'100;
   kind.mMemoryMb = 12'000;
-  kind.mApproved = 0.7;
-  kind.mFails = 0.05;
+  kind.mApprovedShare = 0.7;
+  kind.mFailureShare = 0.05;
   kind.mBurst = 2;
   return kind;
 }
 
 job_kind
-Wide(const scene_scale& aScale)
+Wide(const scenario_scale& aScale)
 {
   job_kind kind;
   kind.mQueue = Queue("wide", "plain", 2, 4, 3'000, Terms(150, aScale));
@@ -81,14 +81,14 @@
   kind.mMeanMs = 3'600;
   kind.mMilliProcessors = 13'000;
   kind.mMemoryMb = 27'000;
-  kind.mSaves = 0.8;
-  kind.mApproved = 0.45;
-  kind.mFails = 0.005;
+  kind.mCheckpointShare = 0.8;
+  kind.mApprovedShare = 0.45;
+  kind.mFailureShare = 0.005;
   return kind;
 }
 
 job_kind
-Gangs(const scene_scale& aScale)
+Gangs(const scenario_scale& aScale)
 {
   job_kind kind;
   kind.mQueue = Queue("gangs", "fast", 1, 2.2, 1'000, Terms(430, aScale));
@@ -98,15 +98,15 @@
   kind.mMilliProcessors = 31'000;
   kind.mMemoryMb = 63'000;
   kind.mAccelerators = { 2, 4, 8, 8 };
-  kind.mSaves = 0.9;
-  kind.mApproved = 0.3;
-  kind.mFails = 0.02;
+  kind.mCheckpointShare = 0.9;
+  kind.mApprovedShare = 0.3;
+  kind.mFailureShare = 0.02;
   kind.mGang = true;
   return kind;
 }
 
 job_kind
-Small(const scene_scale& aScale)
+Small(const scenario_scale& aScale)
 {
   job_kind kind;
   kind.mQueue = Queue("small", "fast", 2, 4, 3'000, Terms(150, aScale));
@@ -116,14 +116,14 @@
   kind.mMilliProcessors = 5'600;
   kind.mMemoryMb = 11'000;
   kind.mAccelerators = { 1 };
-  kind.mSaves = 0.8;
-  kind.mApproved = 0.45;
-  kind.mFails = 0.005;
+  kind.mCheckpointShare = 0.8;
+  kind.mApprovedShare = 0.45;
+  kind.mFailureShare = 0.005;
   return kind;
 }
 
 job_kind
-Lasting(const scene_scale& aScale)
+LongRunning(const scenario_scale& aScale)
 {
   job_kind kind;
   kind.mQueue = Queue("stays", "plain", 1, 2.2, 2'500, Terms(560, aScale));
@@ -132,37 +132,39 @@
   kind.mMeanMs = 45'000;
   kind.mMilliProcessors = 16'000;
   kind.mMemoryMb = 33'000;
-  kind.mApproved = 0.3;
-  kind.mLasting = true;
+  kind.mApprovedShare = 0.3;
+  kind.mLongRunning = true;
   return kind;
 }
 
 // Short urgent steps and wide low-priority ones share workers; on workers with
 // accelerators, gangs that need a whole worker run beside small tasks.
 std::vector<job_kind>
-Kinds(const scene_scale& aScale)
+Kinds(const scenario_scale& aScale)
 {
-  return {
-    Urgent(aScale), Wide(aScale), Gangs(aScale), Small(aScale), Lasting(aScale)
-  };
+  return { Urgent(aScale),
+           Wide(aScale),
+           Gangs(aScale),
+           Small(aScale),
+           LongRunning(aScale) };
 }
 
-class load_maker
+class load_generator
 {
 public:
-  load_maker(const flow_scene& aScene, std::uint64_t aSeed)
+  load_generator(const flow_scenario& aScenario, std::uint64_t aSeed)
     : mRandom(aSeed)
   {
-    mLoad.mScene = aScene;
+    mLoad.mScenario = aScenario;
     mLoad.mSeed = aSeed;
   }
 
   flow_load Run()
   {
-    for (const worker_kind& kind : mLoad.mScene.mWorkers) {
+    for (const worker_kind& kind : mLoad.mScenario.mWorkers) {
       AddWorkers(kind);
     }
-    for (std::size_t kind = 0; kind < mLoad.mScene.mKinds.size(); ++kind) {
+    for (std::size_t kind = 0; kind < mLoad.mScenario.mKinds.size(); ++kind) {
       AddArrivals(kind);
     }
     std::ranges::sort(mLoad.mArrivals, {}, &arrival::mAt);
@@ -175,7 +177,7 @@
   {
     constexpr double kLow = 0.3;
     constexpr double kPower = 2;
-    const double span = kMostTimesMean - kLow;
+    const double span = kMaxTimesMean - kLow;
     constexpr double kMeanOfPower = 1 / (kPower + 1);
     const double drawn = kLow + span * std::pow(mRandom.Fraction(), kPower);
     return aMean * drawn / (kLow + span * kMeanOfPower);
@@ -184,26 +186,26 @@
   void AddWorkers(const worker_kind& aKind)
   {
     for (std::size_t at = 0; at < aKind.mCount; ++at) {
-      flow::worker_description facts;
-      facts.mId =
+      flow::worker_description description;
+      description.mId =
         worker_id(aKind.mService + "-" + std::to_string(mLoad.mWorkers.size()));
-      facts.mAddress = facts.mId.Value() + ":80";
-      facts.mService = service_id(aKind.mService);
-      facts.mRack =
+      description.mAddress = description.mId.Value() + ":80";
+      description.mService = service_id(aKind.mService);
+      description.mRack =
         rack_id(aKind.mService + "-" + std::to_string(aKind.mMilliProcessors) +
                 "-r" + std::to_string(at / aKind.mRack));
-      facts.mCapacity = { aKind.mMilliProcessors,
-                          aKind.mMemoryMb,
-                          aKind.mAccelerators };
-      mLoad.mWorkers.push_back(std::move(facts));
+      description.mCapacity = { aKind.mMilliProcessors,
+                                aKind.mMemoryMb,
+                                aKind.mAccelerators };
+      mLoad.mWorkers.push_back(std::move(description));
     }
   }
 
   void AddArrivals(std::size_t aKind)
   {
-    const job_kind& kind = mLoad.mScene.mKinds[aKind];
+    const job_kind& kind = mLoad.mScenario.mKinds[aKind];
     duration at{};
-    while (at < kPlayed) {
+    while (at < kArrivalSpan) {
       const bool burst = at >= kBurstFrom && at < kBurstTo;
       const double rate = kind.mPerSecond * (burst ? kind.mBurst : 1);
       const double pause = -std::log(1 - mRandom.Fraction()) / rate;
@@ -215,14 +217,14 @@
 
   arrival Draw(std::size_t aKind, duration aAt)
   {
-    const job_kind& kind = mLoad.mScene.mKinds[aKind];
+    const job_kind& kind = mLoad.mScenario.mKinds[aKind];
     arrival job;
     job.mAt = aAt;
     job.mKind = aKind;
     std::string id = std::to_string(++mLast);
     job.mId = job_id(std::string(kIdDigits - id.size(), '0') + id);
-    job.mHopeless = mRandom.Fraction() < mLoad.mScene.mHopeless;
-    job.mCancelled = mRandom.Fraction() < mLoad.mScene.mCancelled;
+    job.mIsInfeasible = mRandom.Fraction() < mLoad.mScenario.mInfeasibleShare;
+    job.mIsCancelled = mRandom.Fraction() < mLoad.mScenario.mCancelledShare;
     const auto steps = std::max<std::uint32_t>(
       1, static_cast<std::uint32_t>(std::lround(Around(kind.mMeanSteps))));
     for (std::uint32_t step = 0; step < steps; ++step) {
@@ -241,13 +243,13 @@
       spec.mSize.mAccelerators =
         aKind.mAccelerators[mRandom.Below(aKind.mAccelerators.size())];
     }
-    if (aJob.mHopeless) {
+    if (aJob.mIsInfeasible) {
       constexpr std::int64_t kTooMany = 1'000;
       spec.mSize.mMilliProcessors *= kTooMany;
     }
-    spec.mCheckpoints = mRandom.Fraction() < aKind.mSaves;
+    spec.mCheckpoints = mRandom.Fraction() < aKind.mCheckpointShare;
     spec.mGang = aKind.mGang;
-    spec.mLongRunning = aKind.mLasting;
+    spec.mLongRunning = aKind.mLongRunning;
     if (aStep > 0) {
       spec.mDependsOn = { aStep - 1 };
     }
@@ -273,8 +275,8 @@
 // A single service: short, wide and urgent steps, wide low-priority ones that
 // take half of the capacity, and long-running ones. Bursts need more than the
 // capacity.
-flow_scene
-LargestScene()
+flow_scenario
+LargestScenario()
 {
   job_kind urgent = Urgent({});
   urgent.mQueue.mAdvice = flow::advice_timing{ 30, 0.43, 2'500 };
@@ -291,62 +293,64 @@
   wide.mMeanMs = 6'000;
   wide.mMilliProcessors = 9'000;
   wide.mMemoryMb = 19'000;
-  wide.mApproved = 0.35;
-  job_kind lasting = Lasting({});
-  lasting.mQueue.mAdvice = flow::advice_timing{ 416, 6, 2'500 };
-  lasting.mPerSecond = 0.5;
-  lasting.mMeanWidth = 40;
-  lasting.mMilliProcessors = 9'000;
-  lasting.mApproved = 0.35;
-  flow_scene scene{ "1100",
-                    { urgent, wide, lasting },
-                    { { "plain", 550, 32'000, 131'072, 0, 8 },
-                      { "plain", 275, 16'000, 65'536, 0, 8 },
-                      { "plain", 275, 64'000, 262'144, 0, 8 } },
-                    150 };
-  scene.mSlowShare = 0.08;
-  scene.mLostShare = 0.05;
-  scene.mHopeless = 0.01;
-  scene.mCancelled = 0.02;
-  scene.mLeaderLost = true;
-  return scene;
+  wide.mApprovedShare = 0.35;
+  job_kind longRunning = LongRunning({});
+  longRunning.mQueue.mAdvice = flow::advice_timing{ 416, 6, 2'500 };
+  longRunning.mPerSecond = 0.5;
+  longRunning.mMeanWidth = 40;
+  longRunning.mMilliProcessors = 9'000;
+  longRunning.mApprovedShare = 0.35;
+  flow_scenario scenario{ "1100",
+                          { urgent, wide, longRunning },
+                          { { "plain", 550, 32'000, 131'072, 0, 8 },
+                            { "plain", 275, 16'000, 65'536, 0, 8 },
+                            { "plain", 275, 64'000, 262'144, 0, 8 } },
+                          150 };
+  scenario.mSlowShare = 0.08;
+  scenario.mLostShare = 0.05;
+  scenario.mInfeasibleShare = 0.01;
+  scenario.mCancelledShare = 0.02;
+  scenario.mLeaderLost = true;
+  return scenario;
 }
 
 } // namespace
 
-std::vector<flow_scene>
-FlowScenes()
+std::vector<flow_scenario>
+FlowScenarios()
 {
-  flow_scene small{ "48",
-                    Kinds({}),
-                    { { "plain", 35, 64'000, 262'144, 0, 5 },
-                      { "fast", 13, 64'000, 131'072, 8, 3 } },
-                    12 };
+  flow_scenario small{ "48",
+                       Kinds({}),
+                       { { "plain", 35, 64'000, 262'144, 0, 5 },
+                         { "fast", 13, 64'000, 131'072, 8, 3 } },
+                       12 };
   small.mSlowShare = 0.08;
   small.mLostShare = 0.05;
-  small.mHopeless = 0.01;
-  small.mCancelled = 0.02;
+  small.mInfeasibleShare = 0.01;
+  small.mCancelledShare = 0.02;
   small.mLeaderLost = true;
-  constexpr double kTimes = 2.9;
-  constexpr double kWide = 2.2;
+  constexpr double kRateFactor = 2.9;
+  constexpr double kWidthFactor = 2.2;
   constexpr double kSlowerAdvice = 1.6;
-  flow_scene large = small;
+  flow_scenario large = small;
   large.mName = "350";
-  large.mKinds = Kinds({ kTimes, kWide, kSlowerAdvice });
+  large.mKinds = Kinds({ kRateFactor, kWidthFactor, kSlowerAdvice });
   large.mWorkers = { { "plain", 252, 64'000, 262'144, 0, 20 },
                      { "fast", 98, 64'000, 131'072, 8, 8 } };
   large.mAdvisors = 37;
-  return { small, large, LargestScene() };
+  return { small, large, LargestScenario() };
 }
 
 flow_load
-MakeLoad(const flow_scene& aScene, std::uint64_t aSeed)
+MakeLoad(const flow_scenario& aScenario, std::uint64_t aSeed)
 {
-  return load_maker(aScene, aSeed).Run();
+  return load_generator(aScenario, aSeed).Run();
 }
 
 double
-Drawn(std::uint64_t aSeed, std::string_view aWhat, std::string_view aWhere)
+SeededFraction(std::uint64_t aSeed,
+               std::string_view aWhat,
+               std::string_view aWhere)
 {
   const std::uint64_t mixed = XXH3_64bits_withSeed(
     aWhere.data(),
--- a/bench/flow_scenario.h
+++ b/bench/flow_scenario.h
@@ -29,11 +29,11 @@
   std::int64_t mMilliProcessors = 1'000;
   std::int64_t mMemoryMb = 1'000;
   std::vector<std::int64_t> mAccelerators; // one of these; empty: none
-  double mSaves = 0;    // share of steps that save checkpoints
-  double mApproved = 1; // share of workers approved
-  double mFails = 0;    // share of runs, by their own fault
+  double mCheckpointShare = 0; // share of steps that save checkpoints
+  double mApprovedShare = 1;   // share of workers approved
+  double mFailureShare = 0;    // share of runs, by their own fault
   bool mGang = false;
-  bool mLasting = false;
+  bool mLongRunning = false;
   double mBurst = 1; // rate factor from kBurstFrom to kBurstTo
 };
 
@@ -47,20 +47,20 @@
   std::size_t mRack = 5; // workers in one
 };
 
-struct flow_scene
+struct flow_scenario
 {
   std::string mName;
   std::vector<job_kind> mKinds;
   std::vector<worker_kind> mWorkers;
   std::size_t mAdvisors = 12;
-  double mSlowShare = 0;    // of the workers, six times slower for a while
-  double mLostShare = 0;    // of the workers, gone at kLostAt
-  double mHopeless = 0;     // of the jobs: larger than any worker
-  double mCancelled = 0;    // of the jobs, a second after they were accepted
-  bool mLeaderLost = false; // at kLeaderLostAt; the next one leads 1 s later
+  double mSlowShare = 0;       // of the workers, six times slower for a while
+  double mLostShare = 0;       // of the workers, gone at kLostAt
+  double mInfeasibleShare = 0; // of the jobs: larger than any worker
+  double mCancelledShare = 0;  // of the jobs, a second after they were accepted
+  bool mLeaderLost = false;    // at kLeaderLostAt; the next one leads 1 s later
 };
 
-constexpr seconds kPlayed{ 40 };
+constexpr seconds kArrivalSpan{ 40 };
 constexpr seconds kBurstFrom{ 6 };
 constexpr seconds kBurstTo{ 10 };
 constexpr seconds kSlowFrom{ 12 };
@@ -75,28 +75,30 @@
   job_id mId;
   flow::job_spec mSpec;
   std::vector<std::vector<double>> mWorkMs; // by step and task
-  bool mHopeless = false;
-  bool mCancelled = false;
+  bool mIsInfeasible = false;
+  bool mIsCancelled = false;
 };
 
 struct flow_load
 {
-  flow_scene mScene;
+  flow_scenario mScenario;
   std::uint64_t mSeed = 0;
   std::vector<flow::worker_description> mWorkers;
   std::vector<arrival> mArrivals; // by time
 };
 
 // The scenarios, the smallest one first.
-std::vector<flow_scene>
-FlowScenes();
+std::vector<flow_scenario>
+FlowScenarios();
 
 flow_load
-MakeLoad(const flow_scene& aScene, std::uint64_t aSeed);
+MakeLoad(const flow_scenario& aScenario, std::uint64_t aSeed);
 
 // A number in [0, 1) that depends on its arguments alone: which workers are
 // approved, and which runs fail, must be the same under every policy.
 double
-Drawn(std::uint64_t aSeed, std::string_view aWhat, std::string_view aWhere);
+SeededFraction(std::uint64_t aSeed,
+               std::string_view aWhat,
+               std::string_view aWhere);
 
 } // namespace oriolewalk::bench
--- a/bench/flow_worker.cc
+++ b/bench/flow_worker.cc
@@ -12,7 +12,7 @@
 constexpr double kSlowFactor = 6;
 constexpr double kCheckpointMs = 1'000;
 constexpr double kRestoreMs = 600;
-constexpr milliseconds kStopTakes{ 100 };
+constexpr milliseconds kStopTime{ 100 };
 // A failing run fails halfway.
 constexpr double kFailsAt = 0.5;
 
@@ -39,13 +39,14 @@
 
 } // namespace
 
-simulated_worker::simulated_worker(const flow::worker_description& aFacts,
+simulated_worker::simulated_worker(const flow::worker_description& aDescription,
                                    std::uint64_t aSeed,
                                    double aSlowShare)
-  : mFacts(aFacts)
+  : mDescription(aDescription)
   , mSeed(aSeed)
-  , mSlows(Drawn(aSeed, "slow", aFacts.mId.Value()) < aSlowShare)
-  , mFree(aFacts.mCapacity)
+  , mBecomesSlow(SeededFraction(aSeed, "slow", aDescription.mId.Value()) <
+                 aSlowShare)
+  , mFree(aDescription.mCapacity)
 {
 }
 
@@ -57,21 +58,22 @@
   if (mRuns.contains(aOrder.mRun)) {
     return flow::order_result::Done;
   }
-  mOverBooked += aWork.mSize.FitsIn(mFree) ? 0 : 1;
+  mOverCapacity += aWork.mSize.FitsIn(mFree) ? 0 : 1;
   mFree -= aWork.mSize;
   live_run run;
   run.mWork = aWork;
-  run.mBegan = aNow;
+  run.mStartedAt = aNow;
   if (!aOrder.mCheckpoint.empty()) {
     run.mSavedMs = std::atof(aOrder.mCheckpoint.c_str());
   }
   const time_point slowFrom{ kSlowFrom };
   const time_point slowTo{ kSlowTo };
-  const bool slow = mSlows && aNow >= slowFrom && aNow < slowTo;
+  const bool slow = mBecomesSlow && aNow >= slowFrom && aNow < slowTo;
   double left = aWork.mMs - run.mSavedMs;
   left += run.mSavedMs > 0 ? kRestoreMs : 0;
-  const bool fails = Drawn(mSeed, "fails", NameOf(aOrder.mRun)) < aWork.mFails;
-  run.mHow = fails ? flow::run_outcome::Failed : flow::run_outcome::Done;
+  const bool fails =
+    SeededFraction(mSeed, "fails", NameOf(aOrder.mRun)) < aWork.mFailureShare;
+  run.mOutcome = fails ? flow::run_outcome::Failed : flow::run_outcome::Done;
   run.mEndsAt =
     aNow + FromMs(left * (slow ? kSlowFactor : 1) * (fails ? kFailsAt : 1));
   mRuns.emplace(aOrder.mRun, run);
@@ -82,16 +84,16 @@
 simulated_worker::Stop(const flow::stop_order& aOrder, time_point aNow)
 {
   const auto found = mRuns.find(aOrder.mRun);
-  if (found != mRuns.end() && found->second.mEndsAt > aNow + kStopTakes) {
-    found->second.mHow = flow::run_outcome::Stopped;
-    found->second.mEndsAt = aNow + kStopTakes;
+  if (found != mRuns.end() && found->second.mEndsAt > aNow + kStopTime) {
+    found->second.mOutcome = flow::run_outcome::Stopped;
+    found->second.mEndsAt = aNow + kStopTime;
   }
 }
 
 double
 simulated_worker::DoneMs(const live_run& aRun, time_point aNow) const
 {
-  return std::min(aRun.mWork.mMs, aRun.mSavedMs + ToMs(aNow - aRun.mBegan));
+  return std::min(aRun.mWork.mMs, aRun.mSavedMs + ToMs(aNow - aRun.mStartedAt));
 }
 
 void
@@ -113,16 +115,16 @@
                       const live_run& aLive,
                       time_point aNow)
 {
-  flow::run_end end{ aRun, aLive.mHow, {} };
-  if (aLive.mHow != flow::run_outcome::Done) {
+  flow::run_end end{ aRun, aLive.mOutcome, {} };
+  if (aLive.mOutcome != flow::run_outcome::Done) {
     const double done = DoneMs(aLive, aNow);
-    const double saved = aLive.mHow == flow::run_outcome::Stopped
+    const double saved = aLive.mOutcome == flow::run_outcome::Stopped
                            ? done
                            : std::floor(done / kCheckpointMs) * kCheckpointMs;
-    if (aLive.mWork.mSaves) {
+    if (aLive.mWork.mSavesCheckpoints) {
       end.mCheckpoint = std::to_string(saved);
     }
-    mThrownAwayMs += done - (aLive.mWork.mSaves ? saved : 0);
+    mLostWorkMs += done - (aLive.mWork.mSavesCheckpoints ? saved : 0);
   }
   mEnded.push_back({ ++mLastEnd, std::move(end) });
 }
--- a/bench/flow_worker.h
+++ b/bench/flow_worker.h
@@ -25,15 +25,15 @@
 {
   double mMs = 0;
   cell::resources mSize;
-  bool mSaves = false;
-  bool mLasting = false;
-  double mFails = 0; // share of runs
+  bool mSavesCheckpoints = false;
+  bool mLongRunning = false;
+  double mFailureShare = 0; // share of runs
 };
 
 class simulated_worker
 {
 public:
-  simulated_worker(const flow::worker_description& aFacts,
+  simulated_worker(const flow::worker_description& aDescription,
                    std::uint64_t aSeed,
                    double aSlowShare);
 
@@ -49,32 +49,35 @@
   [[nodiscard]] bool HasEnds() const { return !mEnded.empty(); }
   // When the next run ends; nullopt if none is running.
   [[nodiscard]] std::optional<time_point> NextEnd() const;
-  [[nodiscard]] const flow::worker_description& Facts() const { return mFacts; }
-  [[nodiscard]] double ThrownAwayMs() const { return mThrownAwayMs; }
-  [[nodiscard]] std::size_t OverBooked() const { return mOverBooked; }
+  [[nodiscard]] const flow::worker_description& Description() const
+  {
+    return mDescription;
+  }
+  [[nodiscard]] double LostWorkMs() const { return mLostWorkMs; }
+  [[nodiscard]] std::size_t OverCapacity() const { return mOverCapacity; }
 
 private:
   struct live_run
   {
     task_work mWork;
-    time_point mBegan{};
+    time_point mStartedAt{};
     double mSavedMs = 0; // done before it started here
     time_point mEndsAt{};
-    flow::run_outcome mHow = flow::run_outcome::Done;
+    flow::run_outcome mOutcome = flow::run_outcome::Done;
   };
 
   [[nodiscard]] double DoneMs(const live_run& aRun, time_point aNow) const;
   void End(const flow::run_ref& aRun, const live_run& aLive, time_point aNow);
 
-  flow::worker_description mFacts;
+  flow::worker_description mDescription;
   std::uint64_t mSeed;
-  bool mSlows;
+  bool mBecomesSlow;
   cell::resources mFree;
   std::map<flow::run_ref, live_run> mRuns;
   std::vector<flow::listed_end> mEnded;
   std::uint64_t mLastEnd = 0;
-  double mThrownAwayMs = 0;
-  std::size_t mOverBooked = 0;
+  double mLostWorkMs = 0;
+  std::size_t mOverCapacity = 0;
 };
 
 } // namespace oriolewalk::bench
