--- a/oriolewalk/flow/leader_runs.cc
+++ b/oriolewalk/flow/leader_runs.cc
@@ -1,5 +1,5 @@
-// The leader's runs, from the commit of a start to its end: what is told to the
-// keeper, what is stopped, what is learnt and noted of ends.
+// The life cycle of runs from a committed start to the end: hands them to the
+// worker supervisor, stops them, and records and logs their ends.
 
 #include <algorithm>
 #include <iterator>
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Of a gang's step that isn't done: some of its members are placed, not all.
+// Whether some but not all members of an unfinished gang step are placed.
 bool
 IsPartlyPlaced(const step_record& aStep)
 {
@@ -41,7 +41,7 @@
   for (std::uint32_t index = 0; index < aRecord.mTasks.size(); ++index) {
     const task_record& task = aRecord.mTasks[index];
     if (task.mPhase == task_phase::Placed) {
-      mKeeper.RequestStop(
+      mSupervisor.RequestStop(
         task.mWorker,
         { { aStep.mJob, aStep.mOccurrence, aStep.mStep, index },
           task.mAttempt },
@@ -50,8 +50,8 @@
   }
 }
 
-// Runs whose job has ended, also those that a start of just then began; and
-// gangs of which a member is missing.
+// Stops runs whose job has ended, including those that were started at the same
+// moment, and gangs of which a member is missing.
 void
 leader_core::StopUnwanted()
 {
@@ -66,7 +66,7 @@
 }
 
 void
-leader_core::TakeBackStragglers()
+leader_core::StopAllStragglers()
 {
   for (const auto& [id, record] : mState.LiveJobs()) {
     const job_record& job = *record;
@@ -77,7 +77,7 @@
 }
 
 void
-leader_core::LearnFrom(const end_runs& aEnds)
+leader_core::RecordEnds(const end_runs& aEnds)
 {
   for (const run_end& end : aEnds.mEnds) {
     mHealth.OnRunEnded(aEnds.mWorker, end.mOutcome, mAt.mNow);
@@ -95,7 +95,8 @@
     for (std::uint32_t step = 0; step < occurrence.mSteps.size(); ++step) {
       const step_spec& spec = aJob.mSpec.mSteps[step];
       const auto& tasks = occurrence.mSteps[step].mTasks;
-      // A gang ends together, and what lasts has no time to compare.
+      // A gang ends together, and a long-running step has no duration to
+      // compare.
       if (spec.mGang || spec.mLongRunning ||
           occurrence.mSteps[step].mDoneTasks == 0) {
         continue;
@@ -112,14 +113,15 @@
                                { "step", std::to_string(step) },
                                { "task", std::to_string(index) } } });
         mHealth.OnStall(tasks[index].mWorker, mAt.mNow);
-        mKeeper.RequestStop(tasks[index].mWorker, run, mAt.mNow);
+        mSupervisor.RequestStop(tasks[index].mWorker, run, mAt.mNow);
       }
     }
   }
 }
 
-// A gang works only whole. Were the rest left waiting for a member that was
-// refused, they would hold their room until they gave up.
+// A gang makes progress only if it is complete. If a member was refused and the
+// others kept waiting for it, they would hold their capacity until they timed
+// out.
 void
 leader_core::StopBrokenGangs(const job_id& aId, const job_record& aJob)
 {
@@ -134,7 +136,7 @@
 }
 
 void
-leader_core::SharePace(worker_number aWorker, const worker_view& aView)
+leader_core::AdjustPace(worker_number aWorker, const worker_view& aView)
 {
   if (mState.TotalsAt(aWorker).mBestEffort == 0) {
     return;
@@ -151,13 +153,14 @@
                      step->mBestEffort,
                      seen.mPercent });
   }
-  for (const pace_change& change : mSharing.Decide(aWorker, runs, mAt.mNow)) {
+  for (const pace_change& change :
+       mInterference.Decide(aWorker, runs, mAt.mNow)) {
     mPort.mLogDecision({ "run.pace",
                          { { "job", change.mRun.mTask.mJob.Value() },
                            { "step", std::to_string(change.mRun.mTask.mStep) },
                            { "task", std::to_string(change.mRun.mTask.mIndex) },
                            { "percent", std::to_string(change.mPercent) } } });
-    mKeeper.SetPace(aWorker, change.mRun, change.mPercent, mAt.mNow);
+    mSupervisor.SetPace(aWorker, change.mRun, change.mPercent, mAt.mNow);
   }
 }
 
@@ -168,7 +171,8 @@
   for (planned_start& planned : aStarts) {
     const run_start& start = planned.mStart;
     mProposed[start.mRun.mTask] = start.mWorker;
-    mProposedRoom[start.mWorker] += mState.FindStep(start.mRun.mTask)->Booked();
+    mProposedCapacity[start.mWorker] +=
+      mState.FindStep(start.mRun.mTask)->Booked();
     if (!planned.mTicket.empty()) {
       mTickets[start.mRun] = std::move(planned.mTicket);
     }
@@ -177,17 +181,17 @@
   const std::vector<run_start> proposed = body.mRuns;
   const bool sent = mPort.mPropose(
     std::move(body), [this, proposed](const apply_outcome& aOutcome) {
-      BeginStarted(proposed, aOutcome);
+      OnStartsApplied(proposed, aOutcome);
     });
   if (!sent) {
-    BeginStarted(proposed, {});
+    OnStartsApplied(proposed, {});
   }
 }
 
 void
-leader_core::MakeWay(const std::vector<planned_preemption>& aStops)
+leader_core::Preempt(const std::vector<planned_preemption>& aPreemptions)
 {
-  for (const auto& [placed, step] : aStops) {
+  for (const auto& [placed, step] : aPreemptions) {
     const task_ref& task = placed.mRun.mTask;
     mPort.mLogDecision(
       { "run.yields",
@@ -197,24 +201,25 @@
           { "for", step.mJob.Value() },
           { "worker",
             mState.FindWorker(placed.mWorker)->mDescription.mId.Value() } } });
-    preemption_record& yields = mYields[task];
-    ++yields.mCount;
-    yields.mInProgress = true;
-    mYielding[placed.mRun] = placed.mWorker;
-    mKeeper.RequestStop(placed.mWorker, placed.mRun, mAt.mNow);
+    preemption_record& preemption = mPreemptionRecords[task];
+    ++preemption.mCount;
+    preemption.mInProgress = true;
+    mPreemptedRuns[placed.mRun] = placed.mWorker;
+    mSupervisor.RequestStop(placed.mWorker, placed.mRun, mAt.mNow);
   }
 }
 
-// What has ended gives way no more.
+// Forgets preempted runs that have ended.
 void
-leader_core::ForgetYielded()
+leader_core::ForgetEndedPreemptions()
 {
-  std::erase_if(mYielding, [this](const auto& aEntry) {
+  std::erase_if(mPreemptedRuns, [this](const auto& aEntry) {
     const auto& [run, worker] = aEntry;
     if (mState.IsPlaced(run, worker)) {
       return false;
     }
-    if (const auto found = mYields.find(run.mTask); found != mYields.end()) {
+    if (const auto found = mPreemptionRecords.find(run.mTask);
+        found != mPreemptionRecords.end()) {
       found->second.mInProgress = false;
     }
     return true;
@@ -222,27 +227,27 @@
 }
 
 void
-leader_core::BeginStarted(const std::vector<run_start>& aProposed,
-                          const apply_outcome& aOutcome)
+leader_core::OnStartsApplied(const std::vector<run_start>& aProposed,
+                             const apply_outcome& aOutcome)
 {
   for (const run_start& start : aProposed) {
     mProposed.erase(start.mRun.mTask);
     if (const step_spec* step = mState.FindStep(start.mRun.mTask)) {
-      mProposedRoom[start.mWorker] -= step->Booked();
+      mProposedCapacity[start.mWorker] -= step->Booked();
     }
-    if (mProposedRoom[start.mWorker] == cell::resources{}) {
-      mProposedRoom.erase(start.mWorker);
+    if (mProposedCapacity[start.mWorker] == cell::resources{}) {
+      mProposedCapacity.erase(start.mWorker);
     }
   }
   for (const run_start& start : aOutcome.mStarted) {
     const auto ticket = mTickets.find(start.mRun);
     mStragglers.OnRunStarted(start.mRun, mAt.mNow);
-    mKeeper.OnStartCommitted(start,
-                             ticket == mTickets.end() ? std::string()
-                                                      : ticket->second,
-                             mAt.mNow);
+    mSupervisor.OnStartCommitted(start,
+                                 ticket == mTickets.end() ? std::string()
+                                                          : ticket->second,
+                                 mAt.mNow);
   }
-  NoteStarts(aOutcome.mStarted);
+  LogStarts(aOutcome.mStarted);
   for (const run_start& start : aProposed) {
     mTickets.erase(start.mRun);
   }
--- a/testing/flow/urgent_plans_test.cc
+++ b/testing/flow/urgent_plans_test.cc
@@ -15,13 +15,13 @@
   // to 60 ms, and another to start. If it waited for plans for all queues, the
   // median was 150 ms and the 95th percentile 234 ms, out of the 250 ms that
   // callers allow in addition to the work.
-  flow_scene scene = FlowScenes().back();
+  flow_scenario scene = FlowScenarios().back();
   scene.mKinds[0].mPerSecond = 6;
   scene.mKinds[0].mBurst = 1;
   scene.mKinds.resize(2);
   scene.mKinds[1].mPerSecond = 1;
   scene.mLeaderLost = false;
-  flow_outcome outcome = PlayLoad(MakeLoad(scene, 11), {});
+  flow_outcome outcome = SimulateLoad(MakeLoad(scene, 11), {});
   auto& waits = outcome.mQueues["urgent"].mFirstStartMs;
   REQUIRE(waits.size() > 100);
   std::ranges::sort(waits);
--- a/testing/flow/worker_health_test.cc
+++ b/testing/flow/worker_health_test.cc
@@ -14,18 +14,19 @@
 
 } // namespace
 
-TEST_CASE("a worker that fails what it starts is left alone for a while")
+TEST_CASE("a worker that fails its tasks is avoided for a while")
 {
-  // It fails everything at once, looks free, and would draw every retry.
+  // A worker that fails everything at once looks free and would attract every
+  // retry.
   worker_health health;
   health.OnRunEnded(1, run_outcome::Failed, kStart);
   CHECK_FALSE(
-    health.Standing(1, kStart).mAvoided); // tasks fail by themselves too
+    health.Standing(1, kStart).mAvoided); // it may be the task's own fault
   health.OnRunEnded(1, run_outcome::Failed, kStart);
   CHECK(health.Standing(1, kStart).mAvoided);
   CHECK_FALSE(health.Standing(2, kStart).mAvoided);
   CHECK_FALSE(health.Standing(1, kStart + seconds(10)).mAvoided);
-  // Tried again and still bad: at once, and for longer.
+  // It fails again when it is tried again: avoided at once, and for longer.
   health.OnRunEnded(1, run_outcome::Failed, kStart + seconds(10));
   CHECK(health.Standing(1, kStart + seconds(12)).mAvoided);
   health.OnRunEnded(1, run_outcome::Done, kStart + seconds(20));
@@ -33,7 +34,7 @@
   CHECK_FALSE(health.Standing(1, kStart + seconds(21)).mAvoided);
 }
 
-TEST_CASE("speed is learnt within bounds")
+TEST_CASE("the estimated speed of a worker stays within bounds")
 {
   worker_health health;
   for (int end = 0; end < 50; ++end) {
@@ -45,40 +46,42 @@
   CHECK(health.Standing(3, kStart).mSpeed == 1);
 }
 
-TEST_CASE("a run far behind its siblings is taken back, and only so often")
+TEST_CASE("a run far behind its siblings is stopped, at most twice per task")
 {
-  // Tasks stand still on one worker while their siblings are done long ago:
-  // the step, and the job's caller, would wait for them.
-  straggler_detector watch;
+  // Tasks stall on one worker although their siblings ended long ago: the step,
+  // and the job's caller, would wait for them.
+  straggler_detector detector;
   const job_id job("00");
   const run_ref quick = state_builder::Run(job, 1, 0);
   const run_ref slow = state_builder::Run(job, 1, 1);
-  watch.OnRunStarted(quick, kStart);
-  watch.OnRunStarted(slow, kStart);
+  detector.OnRunStarted(quick, kStart);
+  detector.OnRunStarted(slow, kStart);
   CHECK_FALSE(
-    watch.MarkIfStraggler(slow, kStart + seconds(60))); // no sibling yet
-  CHECK_FALSE(watch.OnRunEnded(quick, run_outcome::Done, kStart + seconds(1)));
-  CHECK_FALSE(watch.MarkIfStraggler(slow, kStart + seconds(4)));
-  CHECK(watch.MarkIfStraggler(slow, kStart + seconds(6)));
+    detector.MarkIfStraggler(slow, kStart + seconds(60))); // no sibling ended
+  CHECK_FALSE(
+    detector.OnRunEnded(quick, run_outcome::Done, kStart + seconds(1)));
+  CHECK_FALSE(detector.MarkIfStraggler(slow, kStart + seconds(4)));
+  CHECK(detector.MarkIfStraggler(slow, kStart + seconds(6)));
   for (attempt_t attempt = 2; attempt <= 4; ++attempt) {
     const run_ref again = state_builder::Run(job, attempt, 1);
-    watch.OnRunStarted(again, kStart);
-    CHECK(watch.MarkIfStraggler(again, kStart + seconds(30)) == (attempt == 2));
+    detector.OnRunStarted(again, kStart);
+    CHECK(detector.MarkIfStraggler(again, kStart + seconds(30)) ==
+          (attempt == 2));
   }
 }
 
-TEST_CASE("how long a run took is compared with its siblings")
+TEST_CASE("a run's duration is compared with its siblings'")
 {
-  straggler_detector watch;
+  straggler_detector detector;
   const job_id job("00");
   for (std::uint32_t index = 0; index < 3; ++index) {
-    watch.OnRunStarted(state_builder::Run(job, 1, index), kStart);
+    detector.OnRunStarted(state_builder::Run(job, 1, index), kStart);
   }
-  CHECK_FALSE(watch.OnRunEnded(
+  CHECK_FALSE(detector.OnRunEnded(
     state_builder::Run(job, 1, 0), run_outcome::Done, kStart + seconds(1)));
-  CHECK_FALSE(watch.OnRunEnded(
+  CHECK_FALSE(detector.OnRunEnded(
     state_builder::Run(job, 1, 1), run_outcome::Failed, kStart + seconds(1)));
-  const auto ratio = watch.OnRunEnded(
+  const auto ratio = detector.OnRunEnded(
     state_builder::Run(job, 1, 2), run_outcome::Done, kStart + seconds(2));
   REQUIRE(ratio);
   CHECK(*ratio == Approx(2));
