--- a/oriolewalk/flow/flow_state.cc
+++ b/oriolewalk/flow/flow_state.cc
@@ -359,7 +359,7 @@
 {
   const auto worker = mWorkers.find(aEnd.mWorker);
   if (worker == mWorkers.end()) {
-    return Refuse(error_code::NotFound, "the worker has been removed");
+    return Refuse(error_code::NotFound, "the worker has gone");
   }
   apply_outcome outcome;
   for (const run_end& end : aEnd.mEnds) {
@@ -547,7 +547,7 @@
 flow_state::On(const record_worker_crash& aCrash, std::int64_t aWallMs)
 {
   if (FindWorker(aCrash.mWorker) == nullptr) {
-    return Refuse(error_code::NotFound, "the worker has been removed");
+    return Refuse(error_code::NotFound, "the worker has gone");
   }
   apply_outcome outcome;
   for (const task_ref& task :
@@ -582,7 +582,7 @@
   const std::int64_t knownStartMs =
     number == 0 ? 0 : mWorkers.at(number).mDescription.mProcessStartMs;
   if (aWorker.mDescription.mProcessStartMs < knownStartMs) {
-    return Refuse(error_code::Conflict, "an earlier incarnation of the worker");
+    return Refuse(error_code::Conflict, "an earlier life of the worker");
   }
   // Each incarnation needs a number of its own. Otherwise its ends would be
   // compared with the cursor of the previous incarnation and be skipped, and
--- a/oriolewalk/flow/leader_calls.cc
+++ b/oriolewalk/flow/leader_calls.cc
@@ -49,10 +49,7 @@
     });
   if (!proposed) {
     mPort.mFail(aCall,
-                { error_code::Busy,
-                  "propose",
-                  {},
-                  "too many proposals are in progress" });
+                { error_code::Busy, "propose", {}, "too much is under way" });
   }
 }
 
--- a/oriolewalk/flow/types.cc
+++ b/oriolewalk/flow/types.cc
@@ -57,12 +57,10 @@
       return Invalid("queue " + queue.mName + " names an unknown service");
     }
     if (!routes.emplace(queue.mHost, queue.mPrefix).second) {
-      return Invalid("queue " + queue.mName +
-                     " has the host and prefix of another queue");
+      return Invalid("queue " + queue.mName + " stands at another's place");
     }
     if (queue.mTimeoutMs <= 0) {
-      return Invalid("queue " + queue.mName +
-                     " has a timeout that is not above 0");
+      return Invalid("queue " + queue.mName + " has a timeout of 0");
     }
   }
   return {};
@@ -72,7 +70,7 @@
 CheckJob(const job_spec& aJob)
 {
   if (aJob.mSteps.empty()) {
-    return Invalid("the job has no steps");
+    return Invalid("a job without steps");
   }
   if (aJob.mPayload.size() > kMaxPayloadBytes) {
     return Invalid("the payload is too long");
@@ -80,14 +78,13 @@
   for (std::size_t number = 0; number < aJob.mSteps.size(); ++number) {
     const step_spec& step = aJob.mSteps[number];
     if (step.mCount == 0 || step.mCount > kMaxTasksPerStep) {
-      return Invalid("step " + std::to_string(number) +
-                     " has an invalid task count");
+      return Invalid("step " + std::to_string(number) + " has a wrong count");
     }
     const bool later = std::ranges::any_of(
       step.mDependsOn, [&](std::uint32_t aOther) { return aOther >= number; });
     if (later) {
       return Invalid("step " + std::to_string(number) +
-                     " depends on a step that is not an earlier one");
+                     " depends on a step that isn't an earlier one");
     }
   }
   return {};
