--- a/oriolewalk/cell/cell_state.cc
+++ b/oriolewalk/cell/cell_state.cc
@@ -20,8 +20,8 @@
 apply_outcome
 cell_state::Apply(const cell_command& aCommand, std::int64_t aCommittedWallMs)
 {
-  // Leaders' wall clocks differ: a step back would let a backoff or a
-  // retention end late, a clock that only rises cannot.
+  // The wall clocks of successive leaders differ. A backward step would extend
+  // backoffs and retention periods, so the clock never decreases.
   mClockMs = std::max(mClockMs, aCommittedWallMs);
   apply_outcome outcome;
   std::visit([&](const auto& aCase) { Do(aCase, outcome); }, aCommand);
@@ -87,7 +87,7 @@
 }
 
 organisation_slot
-cell_state::OrganisationOf(const organisation_id& aOrganisation)
+cell_state::FindOrAddOrganisation(const organisation_id& aOrganisation)
 {
   const auto next = static_cast<organisation_slot>(mOrganisations.size());
   const auto [found, isNew] =
@@ -133,7 +133,7 @@
 cell_state::Recount(job_record& aJob)
 {
   mKeys.emplace(std::pair(aJob.mSpec.mOrganisation, aJob.mKey), aJob.mNumber);
-  aJob.mOrganisation = OrganisationOf(aJob.mSpec.mOrganisation);
+  aJob.mOrganisation = FindOrAddOrganisation(aJob.mSpec.mOrganisation);
   if (aJob.mFinishedMs != 0) {
     mFinished.emplace(aJob.mFinishedMs, aJob.mNumber);
   }
@@ -158,9 +158,9 @@
 {
   const auto at = static_cast<std::size_t>(aJob.mSpec.mClass);
   auto& jobs = mOrganisations[aJob.mOrganisation].mWaiting.at(at);
-  const bool waits = aJob.mWaiting > 0 && !aJob.mCancelled &&
-                     !aJob.mGangBroken && aJob.mFinishedMs == 0;
-  if (waits) {
+  const bool hasWaitingTasks = aJob.mWaiting > 0 && !aJob.mCancelled &&
+                               !aJob.mGangBroken && aJob.mFinishedMs == 0;
+  if (hasWaitingTasks) {
     jobs.insert(aJob.mNumber);
   } else {
     jobs.erase(aJob.mNumber);
--- a/oriolewalk/cell/cell_state.h
+++ b/oriolewalk/cell/cell_state.h
@@ -1,21 +1,22 @@
 #pragma once
 
-// The replicated aggregate of a cell: jobs, tasks, workers and bookings.
+// The replicated state of a cell: jobs, tasks, workers and bookings.
 //
 //   cell_state state;
 //   auto outcome = state.Apply(submit_job{ key, spec }, wallMs);
-//   outcome.mJob;                      // job-1, also when sent again
+//   outcome.mJob;                      // job-1, also for a resend
 //   state.Apply(start_tasks{ { { task, 1, worker, boot } } }, wallMs);
 //   state.FindJob(*outcome.mJob)->State() == job_state::Running
 //
-// Every node applies the same commands in the order of the log and so has the
-// same state. Each rule is kept here and nowhere else, so that a proposal from
-// a stale leader, or one that lost a race, is refused and can do no harm:
+// Every node applies the same commands in log order and therefore has the same
+// state. This class alone enforces the following invariants when it applies a
+// command, so a proposal from a stale leader, or one that lost a race, is
+// refused and has no effect:
 //
 // - bookings stay within a worker's capacity in every dimension;
-// - a task is on one worker at most, and leaves it only when the worker
-//   confirms the end or surely holds no lease any more;
-// - a task that is not repeatable starts again only from its checkpoint;
+// - a task is placed on at most one worker, and leaves it only when the worker
+//   confirms the end or its lease has expired;
+// - a task that is not repeatable restarts only from its checkpoint;
 // - the unfinished tasks of a gang start in one step or not at all;
 // - a cancelled task either never started or has a confirmed end;
 // - a final state never changes.
@@ -44,26 +45,28 @@
 
 namespace oriolewalk::cell {
 
-// A finished job, and with it its key, is kept for at least a day: a resend
+// A finished job and its key are retained for at least a day, so that a resend
 // within that time still gets the recorded outcome.
-constexpr std::int64_t kLeastRetentionMs = 24LL * 3600 * 1000;
-// A repeatable task that failed this often in a row ends as failed.
-constexpr std::uint32_t kMostFailures = 5;
-// Backoff after a failure: 1 s, doubled up to a minute; a run of a minute
-// starts anew. Without it a broken service takes every worker's start path.
-constexpr std::int64_t kLeastBackoffMs = 1000;
-constexpr std::int64_t kMostBackoffMs = 60'000;
-
-// The root of the aggregate. Owned by one control process; one thread.
+constexpr std::int64_t kMinRetentionMs = 24LL * 3600 * 1000;
+// A repeatable task ends as failed after this many consecutive failures.
+constexpr std::uint32_t kMaxFailures = 5;
+// The backoff after a failure starts at 1 s and doubles up to a minute. An
+// attempt that ran for a minute resets it. Without the backoff, the restarts of
+// a broken service would occupy the start path of every worker.
+constexpr std::int64_t kMinBackoffMs = 1000;
+constexpr std::int64_t kMaxBackoffMs = 60'000;
+
+// Owned by one control process. Not thread-safe.
 class cell_state
 {
 public:
-  // Cost: O(log n) per task that the command names or that it moves. The wall
-  // time comes from the log entry and so is the same on every node.
+  // Cost: O(log n) per task that the command names or changes. The wall time
+  // comes from the log entry, so it is the same on every node.
   apply_outcome Apply(const cell_command& aCommand,
                       std::int64_t aCommittedWallMs);
 
-  // Null, if it is not known. Valid until the next Apply.
+  // These return null if the record is not known. Pointers are valid until the
+  // next Apply.
   [[nodiscard]] const job_record* FindJob(job_number aJob) const;
   [[nodiscard]] const task_record* FindTask(const task_id& aTask) const;
   [[nodiscard]] const worker_record* FindWorker(const worker_id& aWorker) const;
@@ -73,12 +76,12 @@
     const organisation_id& aOrganisation,
     const request_key& aKey) const;
 
-  // By number.
+  // Ordered by job number.
   [[nodiscard]] const std::map<job_number, job_record>& Jobs() const
   {
     return mJobs;
   }
-  // By slot; removed workers leave a record with mKnown false.
+  // Indexed by slot. A removed worker leaves a record with mKnown == false.
   [[nodiscard]] std::span<const worker_record> Workers() const
   {
     return mWorkers;
@@ -87,25 +90,25 @@
   {
     return mOrganisations;
   }
-  // Organisations with waiting work of a class.
+  // Returns the organisations that have waiting jobs of the class.
   [[nodiscard]] const std::set<organisation_slot>& Waiting(
     job_class aClass) const
   {
     return mWaiting.at(static_cast<std::size_t>(aClass));
   }
-  // Of the workers that are present.
+  // Returns the summed capacity of the workers that are present.
   [[nodiscard]] const resources& TotalCapacity() const { return mCapacity; }
   [[nodiscard]] const quota_map& Quotas() const { return mQuotas; }
-  // The latest committed wall time; never goes back.
+  // Returns the latest committed wall time. It never decreases.
   [[nodiscard]] std::int64_t ClockMs() const { return mClockMs; }
 
-  // Why one more task of the job could not start on the worker now; none, if
-  // it could. The same rules as Apply's.
+  // Returns why Apply would refuse the placement now, or nullopt if it would
+  // accept it.
   [[nodiscard]] std::optional<error> CheckPlacement(
     const placement& aPlacement) const;
 
-  // The first broken rule, for tests and fuzzers; empty, if all hold. Cost:
-  // linear in the whole state.
+  // Returns the first violated invariant, or an empty string if all hold. For
+  // tests and fuzzers. Cost: linear in the size of the state.
   [[nodiscard]] std::string Audit() const;
 
   template<class Archive>
@@ -148,7 +151,7 @@
   [[nodiscard]] std::optional<refusal> NeverFits(const job_spec& aSpec) const;
   void CancelTask(job_record& aJob, std::uint32_t aIndex);
   void FinishIfDone(job_record& aJob);
-  organisation_slot OrganisationOf(const organisation_id& aOrganisation);
+  organisation_slot FindOrAddOrganisation(const organisation_id& aOrganisation);
   void UpdateWaiting(job_record& aJob);
 
   // Tasks.
@@ -169,20 +172,22 @@
                  stop_mode aMode,
                  stop_reason aReason,
                  apply_outcome& aOutcome);
-  void SettleGang(job_record& aJob);
+  void ResolveBrokenGang(job_record& aJob);
   void Book(job_record& aJob, task_record& aTask, std::int64_t aSign);
-  // The placed task, if the confirmation names its current attempt.
+  // Returns the job if aAttempt is the current attempt of the placed task and,
+  // unless aIncarnation is null, runs on that worker incarnation. Otherwise
+  // returns null and sets the refusal.
   job_record* CurrentAttempt(const task_id& aTask,
                              std::uint32_t aAttempt,
-                             const worker_life* aLife,
+                             const worker_life* aIncarnation,
                              apply_outcome& aOutcome);
 
-  // Parts of the audit.
+  // Helpers of Audit().
   [[nodiscard]] std::string AuditJob(const job_record& aJob) const;
   [[nodiscard]] std::string AuditWorker(const worker_record& aWorker) const;
 
   // Workers.
-  void EndAll(worker_record& aWorker, apply_outcome& aOutcome);
+  void EndAllAttempts(worker_record& aWorker, apply_outcome& aOutcome);
   worker_slot FreeSlot();
 
   void Rebuild();
@@ -195,7 +200,7 @@
   std::vector<worker_record> mWorkers;
   quota_map mQuotas;
 
-  // Kept from the above, never stored.
+  // Derived from the members above; not serialized.
   std::unordered_map<worker_id, worker_slot> mSlots;
   std::map<std::pair<organisation_id, request_key>, job_number> mKeys;
   std::vector<organisation_record> mOrganisations;
--- a/oriolewalk/cell/cell_state_jobs.cc
+++ b/oriolewalk/cell/cell_state_jobs.cc
@@ -1,4 +1,4 @@
-// Jobs: submit, cancel, finish, forget.
+// Implements the job commands: submit, cancel, finish and forget.
 
 #include <algorithm>
 #include <cstddef>
@@ -18,7 +18,7 @@
 namespace oriolewalk::cell {
 namespace {
 
-constexpr std::size_t kLongestKey = 128;
+constexpr std::size_t kMaxKeyBytes = 128;
 
 job_state
 FinalState(const job_record& aJob)
@@ -63,16 +63,17 @@
 std::optional<refusal>
 cell_state::NeverFits(const job_spec& aSpec) const
 {
-  // Absent workers count: a job is not refused for a rack that is down today.
+  // Absent workers are included, so that a job is not refused because a rack
+  // is temporarily down.
   resources largest;
-  std::int64_t room = 0;
+  std::int64_t fittingTasks = 0;
   const worker_record* best = nullptr;
   for (const worker_record& worker : mWorkers) {
     if (!worker.mKnown) {
       continue;
     }
     const std::int64_t times = aSpec.mEach.TimesIn(worker.mCapacity);
-    room += std::min<std::int64_t>(times, aSpec.mTasks);
+    fittingTasks += std::min<std::int64_t>(times, aSpec.mTasks);
     if (best == nullptr ||
         (best->mCapacity.FirstExcess(worker.mCapacity) == std::nullopt)) {
       best = &worker;
@@ -80,8 +81,9 @@
     largest = Largest(largest, worker.mCapacity);
   }
   const std::int64_t needed = aSpec.mKind == job_kind::Gang ? aSpec.mTasks : 1;
-  if (best == nullptr || room >= needed) {
-    return std::nullopt; // An empty cell is one whose workers come later.
+  if (best == nullptr || fittingTasks >= needed) {
+    // Jobs are accepted before the first worker registers.
+    return std::nullopt;
   }
   const dimension shortOf = aSpec.mEach.FirstExcess(largest).value_or(
     aSpec.mEach.FirstExcess(best->mCapacity).value_or(dimension::Processors));
@@ -91,7 +93,7 @@
       return aWorker.mKnown ? aWorker.mCapacity.Amounts().at(at) : -1;
     });
   const std::int64_t tasks =
-    aSpec.mEach.TimesIn(largest) > 0 && room > 0 ? aSpec.mTasks : 1;
+    aSpec.mEach.TimesIn(largest) > 0 && fittingTasks > 0 ? aSpec.mTasks : 1;
   return refusal{ shortOf,
                   aSpec.mEach.Amounts().at(at) * tasks,
                   most->mCapacity.Amounts().at(at),
@@ -102,7 +104,7 @@
 cell_state::Do(const submit_job& aCommand, apply_outcome& aOutcome)
 {
   if (aCommand.mKey.Value().empty() ||
-      aCommand.mKey.Value().size() > kLongestKey) {
+      aCommand.mKey.Value().size() > kMaxKeyBytes) {
     aOutcome.mRefusal = error{ error_code::InvalidArgument,
                                "submit job",
                                {},
@@ -155,7 +157,7 @@
   }
   aOutcome.mJob = aCommand.mJob;
   if (job->mFinishedMs != 0 || job->mCancelled) {
-    return; // The one true state stands.
+    return; // Cancelling is idempotent; a final state never changes.
   }
   job->mCancelled = true;
   for (std::uint32_t at = 0; at < job->mTasks.size(); ++at) {
@@ -179,7 +181,8 @@
              aIndex,
              task.mAttempt == 0 ? task_state::Cancelled : task_state::Stopped);
   } else if (task.mState == task_state::Placed) {
-    // The start may be on its way: only the worker can say that it is over.
+    // The start may be in flight, so the booking stays until the worker
+    // confirms the end.
     task.mStop = stop_mode::Stop;
     task.mStopReason = stop_reason::Cancelled;
   }
@@ -199,7 +202,7 @@
 cell_state::Do(const forget_jobs& aCommand, apply_outcome& aOutcome)
 {
   const std::int64_t before =
-    std::min(aCommand.mBeforeMs, mClockMs - kLeastRetentionMs);
+    std::min(aCommand.mBeforeMs, mClockMs - kMinRetentionMs);
   while (!mFinished.empty() && mFinished.begin()->first < before) {
     const job_number number = mFinished.begin()->second;
     const job_record& job = mJobs.at(number);
--- a/oriolewalk/cell/cell_state_tasks.cc
+++ b/oriolewalk/cell/cell_state_tasks.cc
@@ -1,4 +1,4 @@
-// Tasks: start, stop, throttle, end.
+// Implements the task commands: start, stop, throttle, resume and end.
 
 #include <algorithm>
 #include <cstddef>
@@ -200,7 +200,7 @@
 job_record*
 cell_state::CurrentAttempt(const task_id& aTask,
                            std::uint32_t aAttempt,
-                           const worker_life* aLife,
+                           const worker_life* aIncarnation,
                            apply_outcome& aOutcome)
 {
   const task_record* task = FindTask(aTask);
@@ -210,8 +210,8 @@
     return nullptr;
   }
   const worker_record& worker = mWorkers[task->mWorker];
-  if (aLife != nullptr &&
-      (worker.mId != aLife->mWorker || worker.mBoot != aLife->mBoot)) {
+  if (aIncarnation != nullptr && (worker.mId != aIncarnation->mWorker ||
+                                  worker.mBoot != aIncarnation->mBoot)) {
     aOutcome.mRefusal = Conflict("the attempt is on another worker");
     return nullptr;
   }
@@ -234,7 +234,7 @@
   } else if (aCommand.mMode == stop_mode::Checkpoint && !spec.mCheckpointable) {
     aOutcome.mRefusal = Conflict("the task has no checkpoints");
   } else if (aCommand.mMode == stop_mode::Stop && !MayRunAgain(spec)) {
-    // To stop it would be to lose it: it may not run a second time.
+    // Stopping it would lose its work, because it must not run twice.
     aOutcome.mRefusal = Conflict("the task is not repeatable");
   } else if (aCommand.mMode <= task.mStop) {
     aOutcome.mRefusal = Conflict("it is asked to end already");
@@ -259,9 +259,9 @@
 void
 cell_state::Do(const task_throttled& aCommand, apply_outcome& aOutcome)
 {
-  const worker_life life{ aCommand.mWorker, aCommand.mBoot };
+  const worker_life incarnation{ aCommand.mWorker, aCommand.mBoot };
   job_record* job =
-    CurrentAttempt(aCommand.mTask, aCommand.mAttempt, &life, aOutcome);
+    CurrentAttempt(aCommand.mTask, aCommand.mAttempt, &incarnation, aOutcome);
   if (job == nullptr) {
     return;
   }
@@ -307,9 +307,9 @@
 void
 cell_state::Do(const task_ended& aCommand, apply_outcome& aOutcome)
 {
-  const worker_life life{ aCommand.mWorker, aCommand.mBoot };
-  if (CurrentAttempt(aCommand.mTask, aCommand.mAttempt, &life, aOutcome) ==
-      nullptr) {
+  const worker_life incarnation{ aCommand.mWorker, aCommand.mBoot };
+  if (CurrentAttempt(
+        aCommand.mTask, aCommand.mAttempt, &incarnation, aOutcome) == nullptr) {
     return;
   }
   const auto end = [&] {
@@ -366,7 +366,7 @@
                 stop_reason::GangBroken,
                 aOutcome);
     }
-    SettleGang(job);
+    ResolveBrokenGang(job);
   }
   FinishIfDone(job);
   UpdateWaiting(job);
@@ -391,8 +391,8 @@
       (aEnding == ending::Checkpointed && spec.mCheckpointable)) {
     return task_state::Waiting;
   }
-  // It started, and nobody can say how far it came. Where the cell itself
-  // stopped it with its gang, that much is known.
+  // The attempt started and its progress is unknown, except when the cell
+  // stopped it because its gang broke.
   return aEnding == ending::Stopped &&
              aTask.mStopReason == stop_reason::GangBroken
            ? task_state::Stopped
@@ -419,19 +419,19 @@
 task_state
 cell_state::StateAfterFailure(const job_record& aJob, task_record& aTask) const
 {
-  if (mClockMs - aTask.mPlacedMs >= kMostBackoffMs) {
+  if (mClockMs - aTask.mPlacedMs >= kMaxBackoffMs) {
     aTask.mFailures = 0;
   }
   ++aTask.mFailures;
   const bool service = aJob.mSpec.mKind == job_kind::Service;
   if (!service &&
-      (!aJob.mSpec.mRepeatable || aTask.mFailures >= kMostFailures)) {
+      (!aJob.mSpec.mRepeatable || aTask.mFailures >= kMaxFailures)) {
     return task_state::Failed;
   }
-  constexpr std::uint32_t kMostDoublings = 6;
-  const std::uint32_t doublings = std::min(aTask.mFailures - 1, kMostDoublings);
+  constexpr std::uint32_t kMaxDoublings = 6;
+  const std::uint32_t doublings = std::min(aTask.mFailures - 1, kMaxDoublings);
   aTask.mNotBeforeMs =
-    mClockMs + std::min(kMostBackoffMs, kLeastBackoffMs << doublings);
+    mClockMs + std::min(kMaxBackoffMs, kMinBackoffMs << doublings);
   return task_state::Waiting;
 }
 
@@ -452,17 +452,17 @@
 }
 
 void
-cell_state::SettleGang(job_record& aJob)
+cell_state::ResolveBrokenGang(job_record& aJob)
 {
   if (!aJob.mGangBroken || aJob.mPlaced > 0) {
     return;
   }
   aJob.mGangBroken = false;
-  const bool over = std::ranges::any_of(aJob.mTasks, [](const auto& aTask) {
+  const bool isOver = std::ranges::any_of(aJob.mTasks, [](const auto& aTask) {
     return IsFinal(aTask.mState) && aTask.mState != task_state::Succeeded;
   });
-  if (!over) {
-    return; // All that is unfinished waits, and starts together again.
+  if (!isOver) {
+    return; // All unfinished tasks are waiting and restart together.
   }
   for (std::uint32_t at = 0; at < aJob.mTasks.size(); ++at) {
     if (aJob.mTasks[at].mState == task_state::Waiting) {
--- a/oriolewalk/cell/cell_state_workers.cc
+++ b/oriolewalk/cell/cell_state_workers.cc
@@ -1,4 +1,4 @@
-// Workers: register, lose, drain, remove; and the audit of all rules.
+// Implements the worker commands (register, lose, drain, remove) and Audit().
 
 #include <algorithm>
 #include <cstddef>
@@ -19,10 +19,10 @@
 namespace oriolewalk::cell {
 namespace {
 
-// Lives whose late announcements are refused; copies older than that would
-// have had to travel for several restarts.
-constexpr std::size_t kMostFormerBoots = 8;
-constexpr std::int64_t kLargestCapacity = 1'000'000'000'000;
+// The number of earlier incarnations whose late registrations are refused. An
+// older registration would have to be delayed across several restarts.
+constexpr std::size_t kMaxFormerBoots = 8;
+constexpr std::int64_t kMaxCapacity = 1'000'000'000'000;
 
 error
 Refusal(error_code aCode, std::string aStep, std::string aMessage)
@@ -34,10 +34,10 @@
 IsValid(const register_worker& aCommand)
 {
   return !aCommand.mWorker.Value().empty() && !aCommand.mBoot.Value().empty() &&
-         std::ranges::all_of(
-           aCommand.mCapacity.Amounts(), [](std::int64_t aAmount) {
-             return aAmount >= 0 && aAmount <= kLargestCapacity;
-           });
+         std::ranges::all_of(aCommand.mCapacity.Amounts(),
+                             [](std::int64_t aAmount) {
+                               return aAmount >= 0 && aAmount <= kMaxCapacity;
+                             });
 }
 
 bool
@@ -47,19 +47,19 @@
     aText, [](char aEach) { return aEach >= '0' && aEach <= '9'; });
 }
 
-// Numbers that rise with each life tell every late announcement, also one of
-// a life that the cell never heard of. Other boots are known only by having
-// been seen.
+// Numeric boot ids increase with each incarnation, so any late registration is
+// detected, including one from an incarnation that never registered. Other boot
+// ids are detected only if they registered before.
 bool
-IsEarlierLife(const boot_id& aBoot, const worker_record& aWorker)
+IsEarlierIncarnation(const boot_id& aBoot, const worker_record& aWorker)
 {
   std::string_view boot = aBoot.Value();
-  std::string_view present = aWorker.mBoot.Value();
-  if (IsNumber(boot) && IsNumber(present)) {
+  std::string_view current = aWorker.mBoot.Value();
+  if (IsNumber(boot) && IsNumber(current)) {
     boot.remove_prefix(std::min(boot.find_first_not_of('0'), boot.size()));
-    present.remove_prefix(
-      std::min(present.find_first_not_of('0'), present.size()));
-    return std::pair(boot.size(), boot) < std::pair(present.size(), present);
+    current.remove_prefix(
+      std::min(current.find_first_not_of('0'), current.size()));
+    return std::pair(boot.size(), boot) < std::pair(current.size(), current);
   }
   return std::ranges::find(aWorker.mFormerBoots, aBoot) !=
          aWorker.mFormerBoots.end();
@@ -98,23 +98,23 @@
     mSlots.emplace(aCommand.mWorker, *slot);
   }
   worker_record& worker = mWorkers[*slot];
-  const bool newLife = worker.mBoot != aCommand.mBoot;
-  // A copy of an earlier life's announcement that comes late would end, on
-  // paper, what the present life still runs: tasks would run twice.
-  if (newLife && IsEarlierLife(aCommand.mBoot, worker)) {
+  const bool isNewIncarnation = worker.mBoot != aCommand.mBoot;
+  // A delayed registration of an earlier incarnation would mark the attempts of
+  // the current one as lost while they still run, so tasks would run twice.
+  if (isNewIncarnation && IsEarlierIncarnation(aCommand.mBoot, worker)) {
     aOutcome.mRefusal =
       Refusal(error_code::Conflict, kStep, "this life of the worker is over");
     return;
   }
-  if (!newLife && !worker.mBooked.FitsIn(aCommand.mCapacity)) {
+  if (!isNewIncarnation && !worker.mBooked.FitsIn(aCommand.mCapacity)) {
     aOutcome.mRefusal = Refusal(
       error_code::Conflict, kStep, "the capacity is less than what is booked");
     return;
   }
-  if (newLife) {
-    EndAll(worker, aOutcome);
+  if (isNewIncarnation) {
+    EndAllAttempts(worker, aOutcome);
     worker.mFormerBoots.push_back(worker.mBoot);
-    if (worker.mFormerBoots.size() > kMostFormerBoots) {
+    if (worker.mFormerBoots.size() > kMaxFormerBoots) {
       worker.mFormerBoots.erase(worker.mFormerBoots.begin());
     }
     worker.mBoot = aCommand.mBoot;
@@ -134,7 +134,7 @@
 }
 
 void
-cell_state::EndAll(worker_record& aWorker, apply_outcome& aOutcome)
+cell_state::EndAllAttempts(worker_record& aWorker, apply_outcome& aOutcome)
 {
   const std::vector<task_id> tasks(aWorker.mTasks.begin(),
                                    aWorker.mTasks.end());
@@ -146,14 +146,14 @@
 void
 cell_state::Do(const workers_lost& aCommand, apply_outcome& aOutcome)
 {
-  for (const worker_life& life : aCommand.mLives) {
-    const auto slot = FindSlot(life.mWorker);
-    if (!slot || mWorkers[*slot].mBoot != life.mBoot ||
+  for (const worker_life& incarnation : aCommand.mLives) {
+    const auto slot = FindSlot(incarnation.mWorker);
+    if (!slot || mWorkers[*slot].mBoot != incarnation.mBoot ||
         !mWorkers[*slot].mPresent) {
       continue;
     }
     worker_record& worker = mWorkers[*slot];
-    EndAll(worker, aOutcome);
+    EndAllAttempts(worker, aOutcome);
     worker.mPresent = false;
     mCapacity -= worker.mCapacity;
     aOutcome.mChanged = true;
--- a/oriolewalk/cell/command.h
+++ b/oriolewalk/cell/command.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The commands that change a cell_state, as they stand in the replicated log.
-// A command is a proposal: the state judges it again when it is applied and
-// refuses what is no longer true.
+// The commands in the replicated log that change a cell_state. A command is a
+// proposal: cell_state validates it when it is applied and refuses it if its
+// preconditions no longer hold.
 
 #include <cstdint>
 #include <variant>
@@ -20,8 +20,8 @@
 
 namespace oriolewalk::cell {
 
-// Idempotent by (organisation, key): the same spec again gives the same job,
-// another spec is a conflict.
+// Idempotent by (organisation, key): a resend with the same spec returns the
+// same job, and a different spec is a conflict.
 struct submit_job
 {
   request_key mKey;
@@ -45,9 +45,10 @@
   }
 };
 
-// A new boot says that nothing of an earlier life still runs. Boots should be
-// decimal numbers that rise with each life, such as the time of its start: a
-// lower one is then a late copy, and is refused.
+// Registers a worker incarnation. A new boot id means that no attempt of an
+// earlier incarnation still runs. Boot ids should be decimal numbers that
+// increase with each incarnation, such as its start time: a lower number is
+// then a delayed duplicate and is refused.
 struct register_worker
 {
   worker_id mWorker;
@@ -77,8 +78,8 @@
   }
 };
 
-// Batch tasks and replicas are judged one by one; the tasks of one gang are
-// taken together or not at all.
+// Batch tasks and replicas are accepted individually. The tasks of a gang are
+// accepted all together or not at all.
 struct start_tasks
 {
   std::vector<placement> mPlacements;
@@ -90,8 +91,8 @@
   }
 };
 
-// Asks for the end, or with Throttle for the slowing, of an attempt. The
-// booking stays until the worker confirms.
+// Requests the end of an attempt or, with Throttle, a lower processor limit.
+// The booking stays unchanged until the worker confirms.
 struct stop_task
 {
   task_id mTask;
@@ -106,7 +107,7 @@
   }
 };
 
-// The worker confirmed the throttle: the booking shrinks.
+// The worker confirmed the throttle, so the booking shrinks.
 struct task_throttled
 {
   task_id mTask;
@@ -121,7 +122,7 @@
   }
 };
 
-// Takes the throttle back: the whole size is booked again, if it fits.
+// Lifts the throttle: the full size is booked again if it fits.
 struct resume_task
 {
   task_id mTask;
@@ -149,6 +150,7 @@
   }
 };
 
+// One incarnation of a worker.
 struct worker_life
 {
   worker_id mWorker;
@@ -161,8 +163,8 @@
   }
 };
 
-// Proposed only after the lease has surely lapsed. A rack or data centre that
-// goes quiet at once is one command.
+// Proposed only after the workers' leases have expired. The workers of a rack
+// or data centre that fail together are lost in one command.
 struct workers_lost
 {
   std::vector<worker_life> mLives;
@@ -174,12 +176,12 @@
   }
 };
 
-// No new work from now on. mDeadlineMs (wall clock, 0: none) is when
-// repeatable work that still runs there is stopped.
+// The worker accepts no new tasks. Repeatable tasks that still run there at
+// mDeadlineMs (wall clock, 0: no deadline) are stopped.
 struct drain_worker
 {
   worker_id mWorker;
-  bool mDrain = true; // False takes it back.
+  bool mDrain = true; // False ends the drain.
   std::int64_t mDeadlineMs = 0;
 
   template<class Archive>
@@ -189,7 +191,7 @@
   }
 };
 
-// A worker that is absent, or drained and empty, leaves the state.
+// Removes a worker that is absent, or drained and empty.
 struct remove_worker
 {
   worker_id mWorker;
@@ -203,8 +205,8 @@
 
 using quota_map = std::map<organisation_id, resources>;
 
-// Replaces all quotas. Who is above a new quota keeps what runs and starts
-// nothing more.
+// Replaces all quotas. An organisation above its new quota keeps its running
+// tasks but starts no more.
 struct quotas_changed
 {
   quota_map mQuotas;
@@ -216,7 +218,8 @@
   }
 };
 
-// Finished jobs, with their keys, that ended before mBeforeMs (wall clock).
+// Removes the jobs, and their keys, that finished before mBeforeMs (wall
+// clock).
 struct forget_jobs
 {
   std::int64_t mBeforeMs = 0;
--- a/oriolewalk/cell/job.cc
+++ b/oriolewalk/cell/job.cc
@@ -19,7 +19,7 @@
 using namespace std::string_view_literals;
 
 constexpr std::string_view kJobPrefix = "job-";
-// Bounds of one spec, so that sums over any cell stay far inside 64 bits.
+// Limits for one spec, which keep sums over a whole cell far below 64 bits.
 constexpr std::uint32_t kMostTasks = 100'000;
 constexpr std::int64_t kMostOfADimension = 1'000'000'000;
 constexpr std::int64_t kLongestMs = 366LL * 24 * 3600 * 1000;
--- a/oriolewalk/cell/job.h
+++ b/oriolewalk/cell/job.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What an operator asks for and how it stands: jobs and their tasks.
+// Job specifications, and the identifiers and states of jobs and tasks.
 //
 //   job_spec spec;
 //   spec.mOrganisation = organisation_id("taksa");
@@ -25,32 +25,33 @@
 namespace oriolewalk::cell {
 
 using job_number = number_id<struct job_number_tag>;
-// One life of a worker process; empty is not a boot.
+// Identifies one incarnation of a worker process. An empty id is invalid.
 using boot_id = text_id<struct boot_tag>;
 
 enum class job_kind : std::uint8_t
 {
-  Batch,   // Each task runs to its end on its own.
-  Service, // Every task is a replica that is started again when it ends.
-  Gang,    // All unfinished tasks run together or none does.
+  Batch,   // Each task runs to completion independently.
+  Service, // Every task is a replica that is restarted when it ends.
+  Gang,    // All unfinished tasks run together or not at all.
 };
 
 using job_class = work_class;
 
-// What was submitted; never changed afterwards.
+// A job as submitted. Immutable after the submit.
 struct job_spec
 {
   organisation_id mOrganisation;
   job_kind mKind = job_kind::Batch;
   job_class mClass = job_class::Normal;
   std::uint32_t mTasks = 1;
-  resources mEach; // Of one task.
+  resources mEach; // Requested by one task.
   std::int64_t mExpectedMs = 0;
-  // A batch or gang task may run again after an attempt that surely ended.
-  // Replicas of a service always may.
+  // Whether a batch or gang task may be restarted after an attempt that has
+  // definitely ended. The replicas of a service always may.
   bool mRepeatable = false;
   bool mCheckpointable = false;
-  std::string mFamily; // Jobs of one family behave alike; for learnt sizes.
+  // Jobs of one family behave alike; learned sizes are kept per family.
+  std::string mFamily;
 
   bool operator==(const job_spec&) const = default;
 
@@ -69,15 +70,15 @@
   }
 };
 
-// A replica may always start again; other work only if it says so.
+// Service replicas may always be restarted; other tasks only if repeatable.
 inline bool
 MayRunAgain(const job_spec& aSpec)
 {
   return aSpec.mKind == job_kind::Service || aSpec.mRepeatable;
 }
 
-// Errors: InvalidArgument with the field, if the spec could make no sense on
-// any cell.
+// Errors: InvalidArgument, with the field in the message, if the spec is
+// invalid on every cell.
 result<void>
 CheckSpec(const job_spec& aSpec);
 
@@ -95,7 +96,7 @@
   }
 };
 
-// "job-1" and "job-1/0".
+// Formats as "job-1" and "job-1/0".
 std::string
 ToString(job_number aJob);
 std::string
@@ -105,32 +106,32 @@
 std::optional<task_id>
 ParseTask(std::string_view aText);
 
-// What a worker reports of an attempt that is over.
+// The result that a worker reports for an ended attempt.
 enum class attempt_result : std::uint8_t
 {
   Succeeded,
   Failed,
-  Checkpointed, // Its progress is kept; a later attempt goes on from there.
+  Checkpointed, // Progress was saved; the next attempt continues from it.
   Stopped,
 };
 
 enum class task_state : std::uint8_t
 {
   Waiting,
-  Placed, // Booked on a worker; it may or may not run there yet.
+  Placed, // Booked on a worker, where it may not run yet.
   // Final:
   Succeeded,
   Failed,
-  Cancelled, // Never started: it did not run and never will.
-  Stopped,   // Started, then ended on request; it may have had effects.
-  Unknown,   // Started, and its worker was lost; it won't run again.
+  Cancelled, // Never started and never will.
+  Stopped,   // Started, then ended on request; may have had effects.
+  Unknown,   // Started, then its worker was lost; will not run again.
 };
 
 enum class job_state : std::uint8_t
 {
   Waiting,    // No task is placed.
-  Running,    // Some task is placed.
-  Cancelling, // Cancelled, but some task has not surely ended.
+  Running,    // At least one task is placed.
+  Cancelling, // Cancelled; the end of some task is not confirmed.
   // Final:
   Succeeded,
   Failed,
@@ -148,22 +149,23 @@
 enum class stop_mode : std::uint8_t
 {
   None,
-  Throttle, // Runs on with a tenth of its processors.
+  Throttle, // Continues with a tenth of its processors.
   Checkpoint,
-  Stop, // Each asks for more than the one before: it is never taken back.
+  Stop, // In increasing severity; a request is never downgraded.
 };
 
 enum class stop_reason : std::uint8_t
 {
   None,
   Cancelled,
-  Preempted,  // More urgent work needs the room.
-  Drained,    // Its worker leaves.
+  Preempted,  // More urgent work needs the capacity.
+  Drained,    // Its worker is being drained.
   GangBroken, // Another task of the gang ended early.
-  Overrun,    // It backfilled a reserved place for longer than it declared.
+  Overrun,    // Backfilled reserved capacity for longer than it declared.
 };
 
-// Why a job was refused: the dimension, and the worker that has most of it.
+// Why a job was refused: the insufficient dimension and the worker with the
+// largest amount of it.
 struct refusal
 {
   dimension mDimension = dimension::Processors;
@@ -203,7 +205,8 @@
 {
   std::size_t operator()(const oriolewalk::cell::task_id& aTask) const
   {
-    // Tasks of one job get neighbouring buckets; 2^20 is beyond any index.
+    // The tasks of one job get neighbouring buckets. Every task index is below
+    // 2^20.
     constexpr unsigned kIndexBits = 20;
     return std::hash<std::uint64_t>{}((aTask.mJob.Value() << kIndexBits) ^
                                       aTask.mIndex);
--- a/oriolewalk/cell/protocol.h
+++ b/oriolewalk/cell/protocol.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What a worker says in a poll and what it is told; see docs/PROTOCOLS.md.
+// The messages of a worker's poll and the reply to it; see docs/PROTOCOLS.md.
 //
 //   worker_poll poll{ boot_id("17"), { { task, 1, { 900, 100, 0 } } }, {} };
 //   worker_reply reply = scheduler.Poll(state, worker, poll, now);
@@ -24,9 +24,9 @@
 {
   task_id mTask;
   std::uint32_t mAttempt = 0;
-  resources mUsage; // Late, missing or wrong; never trusted for bookings.
-  // The limit that the worker holds it to after a throttle command; none:
-  // the size it was started with.
+  resources mUsage; // May be late, missing or wrong; not used for bookings.
+  // The limit that the worker enforces after a throttle command. Nullopt means
+  // the size that the task was started with.
   std::optional<std::int64_t> mLimitMilliProcessors;
 
   template<class Archive>
@@ -64,14 +64,14 @@
 
 enum class worker_command_kind : std::uint8_t
 {
-  // Run this attempt, unless it runs or ended here already.
+  // Start this attempt, unless it already runs or has ended on the worker.
   Start,
-  // End it and report `stopped`; an attempt that isn't known here is reported
-  // as stopped at once and never starts afterwards.
+  // End the attempt and report `stopped`. An attempt that the worker doesn't
+  // know is reported as stopped at once and never starts afterwards.
   Stop,
-  Checkpoint, // Save, end and report `checkpointed`.
-  Throttle,   // Hold it to mSize.mMilliProcessors; also takes a limit back.
-  Forget,     // The end is recorded: report it no more.
+  Checkpoint, // Save a checkpoint, end and report `checkpointed`.
+  Throttle,   // Limit it to mSize.mMilliProcessors; also lifts a limit.
+  Forget,     // The end is recorded; stop reporting it.
 };
 
 std::string_view
@@ -94,12 +94,12 @@
 
 struct worker_reply
 {
-  // The worker isn't known in this life, or is being declared lost: it gets
-  // no lease and must announce itself (404 on the wire).
+  // This incarnation of the worker isn't registered, or is being declared lost.
+  // It gets no lease and must register again (404 on the wire).
   bool mAnnounceAgain = false;
   milliseconds mLease{ 0 };
   std::vector<worker_command> mCommands;
-  std::vector<cell_command> mProposals; // For the log; not for the worker.
+  std::vector<cell_command> mProposals; // For the log; not sent to the worker.
 };
 
 } // namespace oriolewalk::cell
--- a/oriolewalk/cell/records.h
+++ b/oriolewalk/cell/records.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The records inside a cell_state, to be read by schedulers and shells. Only
-// cell_state changes them.
+// The records inside a cell_state. Other components only read them; cell_state
+// alone changes them.
 
 #include <algorithm>
 #include <array>
@@ -19,7 +19,7 @@
 
 namespace oriolewalk::cell {
 
-// Place of a worker in cell_state::Workers(); stable until it is removed.
+// Index of a worker in cell_state::Workers(), stable until it is removed.
 using worker_slot = std::uint32_t;
 constexpr worker_slot kNoWorker = std::numeric_limits<worker_slot>::max();
 using organisation_slot = std::uint32_t;
@@ -27,15 +27,16 @@
 struct task_record
 {
   task_state mState = task_state::Waiting;
-  stop_mode mStop = stop_mode::None; // What the worker is asked for.
+  stop_mode mStop = stop_mode::None; // Requested from the worker.
   stop_reason mStopReason = stop_reason::None;
-  bool mThrottled = false; // Confirmed: a tenth of the processors is booked.
-  bool mThrottledOnce = false; // In this attempt; it isn't done a second time.
-  std::uint32_t mAttempt = 0;  // The current or latest; 0: never started.
-  std::uint32_t mFailures = 0; // In a row.
-  worker_slot mWorker = kNoWorker; // While placed.
+  bool mThrottled = false; // Confirmed; a tenth of the processors is booked.
+  // An attempt is throttled at most once.
+  bool mThrottledOnce = false;
+  std::uint32_t mAttempt = 0;      // Current or latest; 0: never started.
+  std::uint32_t mFailures = 0;     // Consecutive.
+  worker_slot mWorker = kNoWorker; // Set while placed.
   std::int64_t mPlacedMs = 0;
-  std::int64_t mNotBeforeMs = 0; // Backoff, by the wall clock.
+  std::int64_t mNotBeforeMs = 0; // End of the backoff (wall clock).
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
@@ -59,21 +60,21 @@
   request_key mKey;
   job_spec mSpec;
   bool mCancelled = false;
-  // A member ended early: those still placed are stopped, then all wait again
-  // or the gang ends.
+  // A member ended early. The members that are still placed are stopped; then
+  // all unfinished members wait again or the gang ends.
   bool mGangBroken = false;
   std::optional<refusal> mRefusal;
   std::int64_t mSubmittedMs = 0;
-  std::int64_t mFinishedMs = 0; // 0: not yet.
+  std::int64_t mFinishedMs = 0; // 0: not finished.
   std::int64_t mLatestStartMs = 0;
   std::vector<task_record> mTasks;
-  std::uint32_t mMoves = 0; // Attempts that ended on request or by a loss.
-  stop_reason mLatestMove = stop_reason::None; // None: its worker was lost.
+  std::uint32_t mMoves = 0; // Attempts stopped on request or lost.
+  stop_reason mLatestMove = stop_reason::None; // None: the worker was lost.
 
-  // Kept from mTasks, never stored.
+  // Derived from mTasks; not serialized.
   std::uint32_t mWaiting = 0;
   std::uint32_t mPlaced = 0;
-  std::uint32_t mFirstWaiting = 0; // No task before it waits.
+  std::uint32_t mFirstWaiting = 0; // No task below this index waits.
   organisation_slot mOrganisation = 0;
 
   [[nodiscard]] job_state State() const;
@@ -96,12 +97,13 @@
   }
 };
 
-// What is booked for a placed task: the declared size, with a tenth of the
-// processors once its worker confirmed the throttle.
+// Returns the resources booked for a placed task: the declared size, with a
+// tenth of the processors once the worker has confirmed the throttle.
 resources
 Booking(const job_spec& aSpec, const task_record& aTask);
 
-// The processors that a throttled task keeps; at least 1.
+// Returns the thousandths of a processor that a throttled task keeps, at
+// least 1.
 std::int64_t
 ThrottledMilliProcessors(const job_spec& aSpec);
 
@@ -112,13 +114,14 @@
   data_centre_id mDataCentre;
   rack_id mRack;
   resources mCapacity;
-  bool mKnown = true;   // False: removed; the slot is free.
-  bool mPresent = true; // False: its lease lapsed; it holds nothing.
+  bool mKnown = true;   // False: removed, and the slot is free.
+  bool mPresent = true; // False: its lease expired; it has no tasks.
   bool mDraining = false;
   std::int64_t mDrainDeadlineMs = 0;
-  std::vector<boot_id> mFormerBoots; // The latest few, to refuse late copies.
+  // The most recent earlier boot ids, whose late registrations are refused.
+  std::vector<boot_id> mFormerBoots;
 
-  // Kept from the jobs, never stored.
+  // Derived from the jobs; not serialized.
   resources mBooked;
   std::set<task_id> mTasks;
 
@@ -158,27 +161,28 @@
   }
 };
 
-// An attempt that a command brought to its end.
+// An attempt that a command ended.
 struct ended_attempt
 {
   task_id mTask;
   std::uint32_t mAttempt = 0;
   worker_slot mWorker = kNoWorker;
-  std::optional<attempt_result> mResult; // None: its worker was lost.
+  std::optional<attempt_result> mResult; // Nullopt: the worker was lost.
   std::int64_t mRanMs = 0;
 };
 
-// What became of a command. A refusal means that nothing changed, except for
-// start_tasks, where it is that of the first refused placement.
+// The outcome of a command. A refusal means that nothing changed, except for
+// start_tasks, where it is the refusal of the first refused placement and the
+// other placements may have been accepted.
 struct apply_outcome
 {
   std::optional<error> mRefusal;
   bool mChanged = false;
-  std::optional<job_number> mJob; // Of a submit or cancel.
-  bool mReplayed = false;         // The submit's key was known.
+  std::optional<job_number> mJob; // Set by submit_job and cancel_job.
+  bool mReplayed = false;         // The key of the submit was known.
   std::vector<task_id> mRefusedPlacements;
-  std::vector<worker_slot> mWorkers; // Whose booking or state changed.
-  std::vector<job_number> mJobs;     // That changed.
+  std::vector<worker_slot> mWorkers; // Their booking or state changed.
+  std::vector<job_number> mJobs;     // The changed jobs.
   std::vector<ended_attempt> mEnded;
 };
 
--- a/oriolewalk/cell/resources.cc
+++ b/oriolewalk/cell/resources.cc
@@ -24,29 +24,30 @@
 }
 
 std::optional<dimension>
-resources::FirstExcess(const resources& aRoom) const
+resources::FirstExcess(const resources& aCapacity) const
 {
-  if (mAccelerators > aRoom.mAccelerators) {
+  if (mAccelerators > aCapacity.mAccelerators) {
     return dimension::Accelerators;
   }
-  if (mMilliProcessors > aRoom.mMilliProcessors) {
+  if (mMilliProcessors > aCapacity.mMilliProcessors) {
     return dimension::Processors;
   }
-  if (mMemoryMb > aRoom.mMemoryMb) {
+  if (mMemoryMb > aCapacity.mMemoryMb) {
     return dimension::Memory;
   }
   return std::nullopt;
 }
 
 std::int64_t
-resources::TimesIn(const resources& aRoom) const
+resources::TimesIn(const resources& aCapacity) const
 {
   std::int64_t times = std::numeric_limits<std::int64_t>::max();
   const auto need = Amounts();
-  const auto room = aRoom.Amounts();
+  const auto capacity = aCapacity.Amounts();
   for (std::size_t at = 0; at < kDimensions; ++at) {
     if (need[at] > 0) {
-      times = std::min(times, std::max<std::int64_t>(0, room[at] / need[at]));
+      times =
+        std::min(times, std::max<std::int64_t>(0, capacity[at] / need[at]));
     }
   }
   return times;
--- a/oriolewalk/cell/resources.h
+++ b/oriolewalk/cell/resources.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Amounts of what a worker has and a task asks for.
+// The resource amounts of a worker's capacity and of a task's request.
 //
 //   if (request.FitsIn(worker.mCapacity - worker.mBooked)) { ... }
 
@@ -25,8 +25,8 @@
 std::string_view
 ToString(dimension aDimension);
 
-// A value; any thread. Amounts are in thousandths of a processor, mebibytes
-// and whole accelerators.
+// A value type. Amounts are in thousandths of a processor, mebibytes and whole
+// accelerators.
 struct resources
 {
   std::int64_t mMilliProcessors = 0;
@@ -68,17 +68,20 @@
   {
     return { mMilliProcessors, mMemoryMb, mAccelerators };
   }
-  // True, if every dimension is at most aRoom's.
-  [[nodiscard]] bool FitsIn(const resources& aRoom) const
+  // Returns true if every dimension is at most that of aCapacity.
+  [[nodiscard]] bool FitsIn(const resources& aCapacity) const
   {
-    return mMilliProcessors <= aRoom.mMilliProcessors &&
-           mMemoryMb <= aRoom.mMemoryMb && mAccelerators <= aRoom.mAccelerators;
+    return mMilliProcessors <= aCapacity.mMilliProcessors &&
+           mMemoryMb <= aCapacity.mMemoryMb &&
+           mAccelerators <= aCapacity.mAccelerators;
   }
-  // The first dimension that is larger than aRoom's; none, if it fits.
+  // Returns a dimension that is larger than that of aCapacity, or nullopt if
+  // all fit. Accelerators are checked first, then processors, then memory.
   [[nodiscard]] std::optional<dimension> FirstExcess(
-    const resources& aRoom) const;
-  // How many of these fit into aRoom; 0 in every dimension fits without end.
-  [[nodiscard]] std::int64_t TimesIn(const resources& aRoom) const;
+    const resources& aCapacity) const;
+  // Returns how many times this amount fits into aCapacity. The result is the
+  // largest int64 if every dimension is 0.
+  [[nodiscard]] std::int64_t TimesIn(const resources& aCapacity) const;
 
   template<class Archive>
   void serialize(Archive& aArchive) // NOLINT(readability-identifier-naming)
@@ -87,7 +90,7 @@
   }
 };
 
-// Dimension by dimension.
+// Returns the maximum in each dimension.
 inline resources
 Largest(const resources& aLeft, const resources& aRight)
 {
@@ -96,7 +99,7 @@
            std::max(aLeft.mAccelerators, aRight.mAccelerators) };
 }
 
-// Dimension by dimension.
+// Returns the minimum in each dimension.
 inline resources
 Least(const resources& aLeft, const resources& aRight)
 {
@@ -105,7 +108,8 @@
            std::min(aLeft.mAccelerators, aRight.mAccelerators) };
 }
 
-// The largest share of aTotal that aPart takes in any dimension, 0 to 1.
+// Returns the largest fraction of aTotal that aPart takes in any dimension. A
+// dimension with a total of 0 is skipped.
 double
 DominantShare(const resources& aPart, const resources& aTotal);
 
