--- a/testing/cell/cell_state_test.cc
+++ b/testing/cell/cell_state_test.cc
@@ -27,7 +27,7 @@
   return spec;
 }
 
-// A cell_state with workers w0, w1, … and a wall clock of its own.
+// A cell_state with workers w0, w1, … and its own wall clock.
 struct small_cell
 {
   explicit small_cell(int aWorkers, resources aCapacity = { 4000, 4096, 0 })
@@ -80,8 +80,8 @@
 
 TEST_CASE("a job sent again by key is the same job")
 {
-  // The operator's answer was lost and the submit comes again: the same job,
-  // not a second one. Another spec under the key is a conflict.
+  // A submit whose response was lost is sent again. It must return the same job
+  // and not create a second one. A different spec under the key is a conflict.
   small_cell cell(1);
   const job_spec spec = Spec(job_kind::Batch, 1, { 1000, 100, 0 });
   const job_number job = cell.Submit("k", spec);
@@ -118,8 +118,9 @@
 
 TEST_CASE("a start for another attempt than the next is refused")
 {
-  // A stale leader's start comes after the attempt ended and the task waits
-  // again: taken, the late report of the first attempt would end the second.
+  // A start from a stale leader arrives after the attempt ended and the task
+  // waits again. If it were accepted, the late report of the first attempt
+  // would end the second.
   small_cell cell(2);
   auto spec = Spec(job_kind::Batch, 1, { 1000, 100, 0 });
   spec.mRepeatable = true;
@@ -133,7 +134,7 @@
   CHECK(cell.End(job, 0, 1, "w1", attempt_result::Failed).mRefusal);
 }
 
-TEST_CASE("an end counts only from the life that runs the attempt")
+TEST_CASE("an end counts only from the incarnation that runs the attempt")
 {
   small_cell cell(2);
   const auto job = cell.Submit("k", Spec(job_kind::Batch, 1, { 1000, 100, 0 }));
@@ -162,7 +163,7 @@
   CHECK_FALSE(stop(stop_mode::Throttle).mRefusal);
 }
 
-TEST_CASE("a throttle is confirmed, and taken back only into free room")
+TEST_CASE("a throttle is confirmed, and lifted only into free capacity")
 {
   small_cell cell(1);
   const auto job = cell.Submit("k", Spec(job_kind::Batch, 1, { 4000, 100, 0 }));
@@ -171,7 +172,7 @@
   cell.Start(job, 0, 1, "w0");
   cell.Do(
     stop_task{ { job, 0 }, 1, stop_mode::Throttle, stop_reason::Preempted });
-  // Asked for is not yet done: the room is still taken.
+  // The capacity stays booked until the worker confirms the throttle.
   CHECK(cell.Start(other, 0, 1, "w0").mRefusal);
   cell.Do(task_throttled{ { job, 0 }, 1, worker_id("w0"), boot_id("1") });
   CHECK_FALSE(cell.Start(other, 0, 1, "w0").mRefusal);
@@ -182,15 +183,15 @@
 
 TEST_CASE("work that is not repeatable ends as unknown with its worker")
 {
-  // The worker of a settlement is lost: nobody knows how far it came. The
-  // caller sees unknown, and it never runs again.
+  // The worker of a non-repeatable task is lost and the task's progress is
+  // unknown. The caller sees unknown, and the task never runs again.
   small_cell cell(2);
   const auto job = cell.Submit("k", Spec(job_kind::Batch, 1, { 1000, 100, 0 }));
   cell.Start(job, 0, 1, "w0");
   cell.Do(workers_lost{ { { worker_id("w0"), boot_id("1") } } });
   CHECK(cell.mState.FindJob(job)->State() == job_state::Unknown);
   CHECK(cell.Start(job, 0, 2, "w1").mRefusal);
-  // The cut-off worker's report comes late: the final state stands.
+  // A late report of the lost worker doesn't change the final state.
   CHECK(cell.End(job, 0, 1, "w0", attempt_result::Succeeded).mRefusal);
   CHECK(cell.mState.FindJob(job)->State() == job_state::Unknown);
 }
@@ -203,7 +204,7 @@
     return placement{ { job, aIndex }, 1, worker_id(aWorker), boot_id("1") };
   };
   CHECK(cell.Do(start_tasks{ { member(0, "w0"), member(1, "w0") } }).mRefusal);
-  // The third finds no room: the first two are taken back.
+  // The third doesn't fit, so the first two are withdrawn.
   CHECK(
     cell
       .Do(start_tasks{ { member(0, "w0"), member(1, "w0"), member(2, "w0") } })
@@ -218,8 +219,8 @@
 
 TEST_CASE("a cancel that meets a start keeps the booking until the end")
 {
-  // The start may be on its way to the worker when the cancel is applied: the
-  // room is given away only when the worker says that nothing runs.
+  // The start may be in flight to the worker when the cancel is applied. The
+  // capacity is freed only when the worker confirms that nothing runs.
   small_cell cell(1);
   const auto job = cell.Submit("k", Spec(job_kind::Batch, 2, { 4000, 100, 0 }));
   cell.Start(job, 0, 1, "w0");
@@ -232,35 +233,37 @@
   CHECK(cell.Start(job, 1, 1, "w0").mRefusal);
 }
 
-TEST_CASE("a late announcement of an earlier life is refused")
+TEST_CASE("a late registration of an earlier incarnation is refused")
 {
-  // An old PUT arrives after the worker restarted: taking it would end, on
-  // paper, what the new life runs, and start it elsewhere a second time.
+  // An old PUT arrives after the worker restarted. Accepting it would mark the
+  // new incarnation's attempts as lost and start them elsewhere a second time.
   small_cell cell(1);
-  register_worker announce{ worker_id("w0"),
-                            boot_id("2"),
-                            data_centre_id("a"),
-                            rack_id("a1"),
-                            { 2000, 2048, 0 } };
-  CHECK_FALSE(cell.Do(announce).mRefusal);
-  announce.mBoot = boot_id("1");
-  CHECK(cell.Do(announce).mRefusal);
+  register_worker registration{ worker_id("w0"),
+                                boot_id("2"),
+                                data_centre_id("a"),
+                                rack_id("a1"),
+                                { 2000, 2048, 0 } };
+  CHECK_FALSE(cell.Do(registration).mRefusal);
+  registration.mBoot = boot_id("1");
+  CHECK(cell.Do(registration).mRefusal);
   CHECK(cell.mState.FindWorker(worker_id("w0"))->mBoot == boot_id("2"));
 }
 
-TEST_CASE("a late announcement of a life that was never seen is refused")
+TEST_CASE(
+  "a late registration of an incarnation that was never seen is refused")
 {
-  // Life 2 restarts before its announcement arrives; life 3's comes first.
-  // The copy of life 2 must not end life 3's work nor lock it out.
+  // Incarnation 2 restarts before its registration arrives, and that of
+  // incarnation 3 arrives first. The late registration of incarnation 2 must
+  // not end the attempts of incarnation 3 nor lock it out.
   small_cell cell(1);
-  register_worker announce{ worker_id("w0"),
-                            boot_id("10"),
-                            data_centre_id("a"),
-                            rack_id("a1"),
-                            { 2000, 2048, 0 } };
-  CHECK_FALSE(cell.Do(announce).mRefusal);
-  announce.mBoot = boot_id("9");
-  CHECK(cell.Do(announce).mRefusal);
+  register_worker registration{ worker_id("w0"),
+                                boot_id("10"),
+                                data_centre_id("a"),
+                                rack_id("a1"),
+                                { 2000, 2048, 0 } };
+  CHECK_FALSE(cell.Do(registration).mRefusal);
+  registration.mBoot = boot_id("9");
+  CHECK(cell.Do(registration).mRefusal);
   CHECK(cell.mState.FindWorker(worker_id("w0"))->mBoot == boot_id("10"));
 }
 
--- a/testing/cell/fake_cell.cc
+++ b/testing/cell/fake_cell.cc
@@ -130,8 +130,8 @@
   for (const auto& [task, attempt] : aWorker.mRunning) {
     resources usage = mState.FindJob(task.mJob)->mSpec.mEach;
     usage.mMilliProcessors = attempt.mLimitMilliProcessors;
-    if (const auto uses = mUsesMb.find(task.mJob); uses != mUsesMb.end()) {
-      usage.mMemoryMb = uses->second;
+    if (const auto usedMb = mUsesMb.find(task.mJob); usedMb != mUsesMb.end()) {
+      usage.mMemoryMb = usedMb->second;
     }
     poll.mRunning.push_back(
       { task, attempt.mAttempt, usage, attempt.mLimitMilliProcessors });
@@ -147,7 +147,7 @@
   }
   aWorker.mLeaseEndsMs = mMs + reply.mLease.count();
   for (const worker_command& command : reply.mCommands) {
-    Obey(aWorker, command);
+    Execute(aWorker, command);
   }
   for (auto& command : reply.mProposals) {
     mLog.push_back(std::move(command));
@@ -155,7 +155,7 @@
 }
 
 void
-fake_cell::Obey(fake_worker& aWorker, const worker_command& aCommand)
+fake_cell::Execute(fake_worker& aWorker, const worker_command& aCommand)
 {
   const auto running = aWorker.mRunning.find(aCommand.mTask);
   const bool runs = running != aWorker.mRunning.end() &&
@@ -166,11 +166,11 @@
         return;
       }
       const job_number job = aCommand.mTask.mJob;
-      const auto real = mRunsMs.find(job);
-      const std::int64_t lasts =
-        real == mRunsMs.end() ? aCommand.mExpectedMs : real->second;
+      const auto actual = mRunsMs.find(job);
+      const std::int64_t runMs =
+        actual == mRunsMs.end() ? aCommand.mExpectedMs : actual->second;
       aWorker.mRunning[aCommand.mTask] = {
-        aCommand.mAttempt, mMs + lasts, mMs, aCommand.mSize.mMilliProcessors
+        aCommand.mAttempt, mMs + runMs, mMs, aCommand.mSize.mMilliProcessors
       };
       mFirstStartMs.try_emplace(aCommand.mTask, mMs);
       ++mStarts[aCommand.mTask];
@@ -216,16 +216,16 @@
       End(aWorker, aWorker.mRunning.begin()->first, attempt_result::Stopped);
     }
   }
-  std::map<task_id, attempt_result> over;
+  std::map<task_id, attempt_result> ended;
   for (const auto& [task, attempt] : aWorker.mRunning) {
     if (aWorker.mFailsAll || mFailing.contains(task.mJob)) {
-      over.emplace(task, attempt_result::Failed);
+      ended.emplace(task, attempt_result::Failed);
     } else if (attempt.mEndsMs <= mMs) {
-      over.emplace(task, attempt_result::Succeeded);
+      ended.emplace(task, attempt_result::Succeeded);
     }
   }
-  for (const auto& [task, how] : over) {
-    End(aWorker, task, how);
+  for (const auto& [task, result] : ended) {
+    End(aWorker, task, result);
   }
 }
 
--- a/testing/cell/fake_cell.h
+++ b/testing/cell/fake_cell.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// A cell in one process: a state, its scheduler, and workers that run what
-// they are told. Time moves only by Step. Commands are applied one step after
-// they were proposed.
+// A simulated cell in one process: a cell_state, its scheduler, and workers
+// that execute the commands they receive. Only Run() advances the time.
+// Commands are applied one step after they were proposed.
 
 #include <cstdint>
 #include <deque>
@@ -33,9 +33,9 @@
 struct fake_worker
 {
   register_worker mAnnounce;
-  bool mSilent = false;    // Neither polls nor answers.
+  bool mSilent = false;    // Neither polls nor replies.
   bool mFailsAll = false;  // Every task fails at once.
-  bool mAnnounced = false; // Its announcement was sent.
+  bool mAnnounced = false; // Its registration was sent.
   std::int64_t mLeaseEndsMs = 0;
   std::map<task_id, fake_attempt> mRunning;
   std::map<task_id, reported_end> mEnded;
@@ -52,31 +52,31 @@
                  const std::string& aRack = "a1");
   job_number Submit(const job_spec& aSpec);
   void Do(const cell_command& aCommand) { mLog.push_back(aCommand); }
-  // Moves time on in steps of 100 ms; workers poll every 500 ms.
+  // Advances the time in steps of 100 ms. Workers poll every 500 ms.
   void Run(std::int64_t aMs);
   [[nodiscard]] instant Now() const;
   [[nodiscard]] job_state State(job_number aJob) const;
-  // The attempts of a task that run now, over all workers.
+  // Returns the number of running attempts of a task on all workers.
   [[nodiscard]] int Copies(const task_id& aTask) const;
 
   cell_state mState;
   cell_scheduler mScheduler;
   cell_policy mPolicy;
   std::map<std::string, fake_worker> mWorkers;
-  std::deque<cell_command> mLog; // Proposed, not applied yet.
-  // How long a task really runs; others run for what they declare.
+  std::deque<cell_command> mLog; // Proposed, but not applied yet.
+  // Actual run times; other jobs run for their declared time.
   std::map<job_number, std::int64_t> mRunsMs;
-  std::map<job_number, std::int64_t> mUsesMb; // Others use what they declare.
-  std::set<job_number> mFailing;              // Fail wherever they run.
+  std::map<job_number, std::int64_t> mUsesMb; // Others use their declared size.
+  std::set<job_number> mFailing;              // Fail on every worker.
   std::map<task_id, std::int64_t> mFirstStartMs;
   std::map<task_id, int> mStarts;
-  std::int64_t mMs = 0; // Both clocks.
+  std::int64_t mMs = 0; // The monotonic and the wall clock.
 
 private:
   void ApplyLog();
   void PollAll();
   void Poll(fake_worker& aWorker);
-  void Obey(fake_worker& aWorker, const worker_command& aCommand);
+  void Execute(fake_worker& aWorker, const worker_command& aCommand);
   void End(fake_worker& aWorker, const task_id& aTask, attempt_result aResult);
   void Finish(fake_worker& aWorker);
 
