--- a/fuzzing/cell_fuzz.cc
+++ b/fuzzing/cell_fuzz.cc
@@ -1,10 +1,11 @@
-// The cell under faults, against what its workers physically do.
+// Fuzzes a cell under faults and checks it against the tasks that its simulated
+// workers run.
 //
-// Bytes choose what happens next: submits, cancels, lost and late polls and
-// answers, silent and restarted workers, failing tasks, leader changes that
-// lose or apply what was proposed, proposals that no leader in its right mind
-// would make. The oracle watches the workers themselves: what runs where, and
-// how often it started. At the end the faults stop, and all must finish.
+// The input selects the events: submits, cancels, lost and late polls and
+// replies, silent and restarted workers, failing tasks, leader changes that
+// lose or apply pending proposals, and proposals that no correct leader makes.
+// The oracle observes the workers: which tasks run where, and how often each
+// one started. At the end the faults stop, and every job must finish.
 
 #include <algorithm>
 #include <cstdint>
@@ -59,13 +60,13 @@
 {
   register_worker mAnnounce;
   resources mWhole;
-  int mLife = 1;
+  int mIncarnation = 1;
   bool mDead = false;
   bool mCutOff = false;
   std::int64_t mLeaseEndsMs = 0;
-  double mSlowness = 1.0; // Of its clock.
+  double mSlowness = 1.0; // Slowdown factor of its clock.
   std::uint64_t mPoll = 0;
-  std::int64_t mPollSentMs = -1; // -1: none is out.
+  std::int64_t mPollSentMs = -1; // -1: no poll is outstanding.
   std::map<task_id, attempt> mRunning;
   std::map<task_id, reported_end> mEnded;
 };
@@ -153,7 +154,7 @@
       case 13:
         return ChangeQuotas();
       case 14:
-        if (!mReports.empty()) { // A report is proposed again, late.
+        if (!mReports.empty()) { // A delayed duplicate report is proposed.
           mLog.push_back(mReports[Pick(static_cast<int>(mReports.size()))]);
         }
         return;
@@ -208,18 +209,19 @@
     ++aMachine.mPoll;
     aMachine.mLeaseEndsMs = 0;
     const register_worker old = aMachine.mAnnounce;
-    aMachine.mAnnounce.mBoot = boot_id(std::to_string(++aMachine.mLife));
+    aMachine.mAnnounce.mBoot = boot_id(std::to_string(++aMachine.mIncarnation));
     aMachine.mAnnounce.mCapacity = aMachine.mWhole;
     if (Pick(2) == 0) {
       aMachine.mAnnounce.mCapacity.mMilliProcessors /= 2;
     }
     mLog.emplace_back(aMachine.mAnnounce);
     if (Pick(2) == 0) {
-      mLog.emplace_back(old); // The former life's announcement comes late.
+      mLog.emplace_back(old); // A late registration.
     }
   }
 
-  // What was proposed is applied or lost; the next leader knows nothing.
+  // Pending proposals are applied or lost, and the next leader starts without
+  // soft state.
   void ChangeLeader()
   {
     std::deque<cell_command> log = std::move(mLog);
@@ -293,7 +295,8 @@
         Restart(each);
       }
     }
-    // One more leader, so that nothing hangs on the soft state of this one.
+    // A final leader change, so that nothing depends on this leader's soft
+    // state.
     ChangeLeader();
     for (const auto& [number, job] : mState.Jobs()) {
       if (job.mSpec.mKind == job_kind::Service) {
@@ -331,15 +334,17 @@
     return text;
   }
 
-  // Submitted before the workers that it would have needed were known.
+  // False for a job that was submitted before the workers registered and that
+  // fits on none of them.
   [[nodiscard]] bool CanFit(const job_record& aJob) const
   {
-    std::int64_t room = 0;
+    std::int64_t fittingTasks = 0;
     for (const machine& each : mMachines) {
-      room += std::min<std::int64_t>(
+      fittingTasks += std::min<std::int64_t>(
         1000, aJob.mSpec.mEach.TimesIn(each.mAnnounce.mCapacity));
     }
-    return room >= (aJob.mSpec.mKind == job_kind::Gang ? aJob.mSpec.mTasks : 1);
+    return fittingTasks >=
+           (aJob.mSpec.mKind == job_kind::Gang ? aJob.mSpec.mTasks : 1);
   }
 
   void Advance(std::int64_t aMs)
@@ -491,7 +496,7 @@
   {
     machine& each = mMachines[aReply.mWorker];
     if (aReply.mPoll != each.mPoll || each.mPollSentMs < 0) {
-      return; // Its connection is closed.
+      return; // The connection of that poll is closed.
     }
     each.mPollSentMs = -1;
     ++each.mPoll;
