--- a/bench/detector_bench.cc
+++ b/bench/detector_bench.cc
@@ -32,7 +32,7 @@
 using bench::bench_report;
 
 constexpr duration kPeriod = milliseconds(500);
-constexpr duration kLife = std::chrono::minutes(10);
+constexpr duration kTraceLength = std::chrono::minutes(10);
 constexpr duration kTick = milliseconds(100);
 constexpr int kRuns = 60; // Ten hours of life for each figure.
 constexpr double kHours = 10;
@@ -46,8 +46,8 @@
   double mLoss = 0;   // Chance for each heartbeat.
   // The peer stands still for a span between these, about each half minute;
   // what it would have sent meanwhile is left out, as a timer does.
-  duration mPauseLeast{};
-  duration mPauseMost{};
+  duration mMinPause{};
+  duration mMaxPause{};
   // It is the observer that stands still.
   bool mObserverPauses = false;
 };
@@ -57,14 +57,14 @@
   series_kind{ .mName = "jittered", .mJitter = milliseconds(60) },
   series_kind{ .mName = "lossy", .mLoss = 0.02 },
   series_kind{ .mName = "paused_0.1_to_1_s",
-               .mPauseLeast = milliseconds(100),
-               .mPauseMost = seconds(1) },
+               .mMinPause = milliseconds(100),
+               .mMaxPause = seconds(1) },
   series_kind{ .mName = "paused_1_to_5_s",
-               .mPauseLeast = seconds(1),
-               .mPauseMost = seconds(5) },
+               .mMinPause = seconds(1),
+               .mMaxPause = seconds(5) },
   series_kind{ .mName = "observer_paused_1_to_5_s",
-               .mPauseLeast = seconds(1),
-               .mPauseMost = seconds(5),
+               .mMinPause = seconds(1),
+               .mMaxPause = seconds(5),
                .mObserverPauses = true },
 };
 
@@ -77,8 +77,8 @@
 std::vector<candidate>
 Candidates()
 {
-  bertier_options wary;
-  wary.mPhi = 4;
+  bertier_options wideMargin;
+  wideMargin.mPhi = 4;
   return {
     { "fixed_1000", fixed_options{ milliseconds(1000) } },
     { "fixed_1250", fixed_options{ milliseconds(1250) } },
@@ -91,11 +91,11 @@
     { "chen_1250", chen_options{ .mMargin = milliseconds(1250) } },
     { "chen_1500", chen_options{ .mMargin = milliseconds(1500) } },
     { "bertier_phi_2", bertier_options{} },
-    { "bertier_phi_4", wary },
+    { "bertier_phi_4", wideMargin },
   };
 }
 
-struct span_of_time
+struct time_interval
 {
   time_point mFrom;
   time_point mTo;
@@ -114,28 +114,28 @@
 }
 
 // Log-uniform lengths: short pauses are more common than long ones.
-std::vector<span_of_time>
+std::vector<time_interval>
 MakePauses(const series_kind& aKind, random_source& aRandom)
 {
   constexpr duration kMeanGap = seconds(30);
-  std::vector<span_of_time> pauses;
-  if (aKind.mPauseMost == duration{}) {
+  std::vector<time_interval> pauses;
+  if (aKind.mMaxPause == duration{}) {
     return pauses;
   }
-  const double ratio = std::chrono::duration<double>(aKind.mPauseMost) /
-                       std::chrono::duration<double>(aKind.mPauseLeast);
+  const double ratio = std::chrono::duration<double>(aKind.mMaxPause) /
+                       std::chrono::duration<double>(aKind.mMinPause);
   time_point at = time_point{} + Scaled(kMeanGap, Exponential(aRandom));
-  while (at < time_point{} + kLife - aKind.mPauseMost) {
+  while (at < time_point{} + kTraceLength - aKind.mMaxPause) {
     const auto length =
-      Scaled(aKind.mPauseLeast, std::pow(ratio, aRandom.Fraction()));
+      Scaled(aKind.mMinPause, std::pow(ratio, aRandom.Fraction()));
     pauses.push_back({ at, at + length });
     at += length + kPeriod + Scaled(kMeanGap, Exponential(aRandom));
   }
   return pauses;
 }
 
-const span_of_time*
-PauseAt(std::span<const span_of_time> aPauses, time_point aTime)
+const time_interval*
+PauseAt(std::span<const time_interval> aPauses, time_point aTime)
 {
   const auto place = std::ranges::find_if(aPauses, [&](const auto& aPause) {
     return aPause.mFrom <= aTime && aTime < aPause.mTo;
@@ -143,59 +143,61 @@
   return place == aPauses.end() ? nullptr : &*place;
 }
 
-struct life
+struct heartbeat_trace
 {
   std::vector<heartbeat> mArrivals; // In order of arrival.
-  std::vector<span_of_time> mObserverPauses;
-  time_point mDeath;
+  std::vector<time_interval> mObserverPauses;
+  time_point mCrashTime;
 };
 
-struct beat
+struct sent_heartbeat
 {
   std::uint64_t mNumber = 0;
-  time_point mSent;
+  time_point mSendTime;
 };
 
 // Of the beats that fall due in a pause, one is sent on waking, under the
 // number of that moment.
-std::vector<beat>
-MakeBeats(time_point aDeath, std::span<const span_of_time> aPauses)
+std::vector<sent_heartbeat>
+MakeSentHeartbeats(time_point aCrashTime,
+                   std::span<const time_interval> aPauses)
 {
-  std::vector<beat> beats;
-  for (time_point due{}; due < aDeath; due += kPeriod) {
+  std::vector<sent_heartbeat> heartbeats;
+  for (time_point due{}; due < aCrashTime; due += kPeriod) {
     const auto* pause = PauseAt(aPauses, due);
     const auto sent = pause == nullptr ? due : pause->mTo;
     const auto number =
       static_cast<std::uint64_t>(sent.time_since_epoch() / kPeriod);
-    if (beats.empty() || beats.back().mNumber < number) {
-      beats.push_back({ number, sent });
+    if (heartbeats.empty() || heartbeats.back().mNumber < number) {
+      heartbeats.push_back({ number, sent });
     }
   }
-  return beats;
+  return heartbeats;
 }
 
-life
-MakeLife(const series_kind& aKind, std::uint64_t aSeed)
+heartbeat_trace
+MakeTrace(const series_kind& aKind, std::uint64_t aSeed)
 {
   random_source random(aSeed);
-  life made;
-  made.mDeath = time_point{} + kLife + Scaled(kPeriod, random.Fraction());
+  heartbeat_trace trace;
+  trace.mCrashTime =
+    time_point{} + kTraceLength + Scaled(kPeriod, random.Fraction());
   auto pauses = MakePauses(aKind, random);
   if (aKind.mObserverPauses) {
-    std::swap(pauses, made.mObserverPauses);
+    std::swap(pauses, trace.mObserverPauses);
   }
-  for (const auto& sent : MakeBeats(made.mDeath, pauses)) {
-    auto arrival =
-      sent.mSent + aKind.mDelay + Scaled(aKind.mJitter, Exponential(random));
-    if (const auto* pause = PauseAt(made.mObserverPauses, arrival)) {
+  for (const auto& sent : MakeSentHeartbeats(trace.mCrashTime, pauses)) {
+    auto arrival = sent.mSendTime + aKind.mDelay +
+                   Scaled(aKind.mJitter, Exponential(random));
+    if (const auto* pause = PauseAt(trace.mObserverPauses, arrival)) {
       arrival = pause->mTo + milliseconds(1);
     }
     if (random.Fraction() >= aKind.mLoss) {
-      made.mArrivals.push_back({ sent.mNumber, arrival });
+      trace.mArrivals.push_back({ sent.mNumber, arrival });
     }
   }
-  std::ranges::stable_sort(made.mArrivals, {}, &heartbeat::mArrived);
-  return made;
+  std::ranges::stable_sort(trace.mArrivals, {}, &heartbeat::mArrivalTime);
+  return trace;
 }
 
 struct verdict
@@ -215,32 +217,32 @@
     mDetector.Start(time_point{});
   }
 
-  verdict Watch(const life& aLife)
+  verdict Watch(const heartbeat_trace& aTrace)
   {
     time_point tick{};
-    for (const auto& arrival : aLife.mArrivals) {
-      for (; tick < arrival.mArrived; tick += kTick) {
-        if (PauseAt(aLife.mObserverPauses, tick) == nullptr) {
-          Look(tick);
+    for (const auto& arrival : aTrace.mArrivals) {
+      for (; tick < arrival.mArrivalTime; tick += kTick) {
+        if (PauseAt(aTrace.mObserverPauses, tick) == nullptr) {
+          Check(tick);
         }
       }
-      Look(arrival.mArrived);
+      Check(arrival.mArrivalTime);
       if (mSuspectSince) {
-        mVerdict.mMistakes.push_back(arrival.mArrived - *mSuspectSince);
+        mVerdict.mMistakes.push_back(arrival.mArrivalTime - *mSuspectSince);
         mSuspectSince.reset();
       }
-      mDetector.Arrived(arrival.mNumber, arrival.mArrived);
+      mDetector.OnHeartbeat(arrival.mNumber, arrival.mArrivalTime);
     }
-    mVerdict.mDetection = mDetector.SuspectAt() - aLife.mDeath;
+    mVerdict.mDetection = mDetector.SuspicionTime() - aTrace.mCrashTime;
     return std::move(mVerdict);
   }
 
 private:
-  void Look(time_point aNow)
+  void Check(time_point aNow)
   {
-    mDetector.Observed(aNow);
-    if (!mSuspectSince && mDetector.Suspects(aNow)) {
-      mSuspectSince = mDetector.SuspectAt();
+    mDetector.OnTick(aNow);
+    if (!mSuspectSince && mDetector.IsSuspected(aNow)) {
+      mSuspectSince = mDetector.SuspicionTime();
     }
   }
 
@@ -269,7 +271,7 @@
   std::vector<duration> mistakes;
   for (std::uint64_t seed = 1; seed <= kRuns; ++seed) {
     const auto seen =
-      observer(aCandidate.mOptions).Watch(MakeLife(aKind, seed));
+      observer(aCandidate.mOptions).Watch(MakeTrace(aKind, seed));
     detections.push_back(seen.mDetection);
     std::ranges::copy(seen.mMistakes, std::back_inserter(mistakes));
   }
@@ -292,8 +294,8 @@
 {
   const auto candidates = Candidates();
   for (const auto& kind : kSeries) {
-    for (const auto& tried : candidates) {
-      MeasureOne(aReport, kind, tried);
+    for (const auto& each : candidates) {
+      MeasureOne(aReport, kind, each);
     }
   }
 }
--- a/oriolewalk/detector/estimators.cc
+++ b/oriolewalk/detector/estimators.cc
@@ -25,15 +25,15 @@
 }
 
 void
-fixed_estimator::Arrived(const heartbeat& aHeartbeat)
+fixed_estimator::OnHeartbeat(const heartbeat& aHeartbeat)
 {
-  mLast = aHeartbeat.mArrived;
+  mLastArrival = aHeartbeat.mArrivalTime;
 }
 
 time_point
-fixed_estimator::Overdue() const
+fixed_estimator::FreshnessPoint() const
 {
-  return mLast + mOptions.mTimeout;
+  return mLastArrival + mOptions.mTimeout;
 }
 
 arrival_window::arrival_window(std::size_t aSize, duration aPeriod)
@@ -47,9 +47,9 @@
 {
   const auto number = static_cast<duration::rep>(aHeartbeat.mNumber);
   if (mOffsets.empty()) {
-    mOrigin = aHeartbeat.mArrived - mPeriod * number;
+    mOrigin = aHeartbeat.mArrivalTime - mPeriod * number;
   }
-  const auto offset = aHeartbeat.mArrived - mPeriod * number - mOrigin;
+  const auto offset = aHeartbeat.mArrivalTime - mPeriod * number - mOrigin;
   mOffsets.push_back(offset);
   mSum += offset;
   if (mOffsets.size() > mSize) {
@@ -60,7 +60,7 @@
 }
 
 time_point
-arrival_window::Expected(std::uint64_t aNumber) const
+arrival_window::ExpectedArrival(std::uint64_t aNumber) const
 {
   const auto count = static_cast<duration::rep>(mOffsets.size());
   return mOrigin + mSum / count + mPeriod * static_cast<duration::rep>(aNumber);
@@ -73,34 +73,34 @@
 }
 
 void
-chen_estimator::Arrived(const heartbeat& aHeartbeat)
+chen_estimator::OnHeartbeat(const heartbeat& aHeartbeat)
 {
   mWindow.Add(aHeartbeat);
 }
 
 time_point
-chen_estimator::Overdue() const
+chen_estimator::FreshnessPoint() const
 {
-  return mWindow.Expected(mWindow.NextNumber()) + mOptions.mMargin;
+  return mWindow.ExpectedArrival(mWindow.NextNumber()) + mOptions.mMargin;
 }
 
 bertier_estimator::bertier_estimator(const bertier_options& aOptions,
                                      duration aPeriod)
   : mOptions(aOptions)
   , mWindow(aOptions.mWindow, aPeriod)
-  , mDelay(aOptions.mFirstDelay)
+  , mDelay(aOptions.mInitialDelay)
 {
 }
 
 void
-bertier_estimator::Arrived(const heartbeat& aHeartbeat)
+bertier_estimator::OnHeartbeat(const heartbeat& aHeartbeat)
 {
   if (!mWindow.IsEmpty()) {
-    if (aHeartbeat.mArrived >= Overdue()) {
+    if (aHeartbeat.mArrivalTime >= FreshnessPoint()) {
       mModeration += mOptions.mModerationStep; // It was suspected wrongly.
     }
-    const auto expected = mWindow.Expected(aHeartbeat.mNumber);
-    const auto error = aHeartbeat.mArrived - expected - mDelay;
+    const auto expected = mWindow.ExpectedArrival(aHeartbeat.mNumber);
+    const auto error = aHeartbeat.mArrivalTime - expected - mDelay;
     const auto size = std::chrono::abs(error);
     mDelay += Scaled(error, mOptions.mGamma);
     mVariation += Scaled(size - mVariation, mOptions.mGamma);
@@ -109,9 +109,9 @@
 }
 
 time_point
-bertier_estimator::Overdue() const
+bertier_estimator::FreshnessPoint() const
 {
-  return mWindow.Expected(mWindow.NextNumber()) +
+  return mWindow.ExpectedArrival(mWindow.NextNumber()) +
          Scaled(mDelay, mOptions.mBeta) + Scaled(mVariation, mOptions.mPhi) +
          mModeration;
 }
--- a/oriolewalk/detector/estimators.h
+++ b/oriolewalk/detector/estimators.h
@@ -16,7 +16,7 @@
 struct heartbeat
 {
   std::uint64_t mNumber = 0;
-  time_point mArrived;
+  time_point mArrivalTime;
 };
 
 // A heartbeat is overdue so long after the last arrival.
@@ -31,12 +31,12 @@
 {
 public:
   fixed_estimator(const fixed_options& aOptions, duration aPeriod);
-  void Arrived(const heartbeat& aHeartbeat);
-  [[nodiscard]] time_point Overdue() const;
+  void OnHeartbeat(const heartbeat& aHeartbeat);
+  [[nodiscard]] time_point FreshnessPoint() const;
 
 private:
   fixed_options mOptions;
-  time_point mLast;
+  time_point mLastArrival;
 };
 
 // Where the arrivals of the last n heartbeats, moved to number 0, lie on
@@ -48,7 +48,7 @@
   arrival_window(std::size_t aSize, duration aPeriod);
   void Add(const heartbeat& aHeartbeat);
   // When the heartbeat of that number is expected (EA).
-  [[nodiscard]] time_point Expected(std::uint64_t aNumber) const;
+  [[nodiscard]] time_point ExpectedArrival(std::uint64_t aNumber) const;
   [[nodiscard]] bool IsEmpty() const { return mOffsets.empty(); }
   [[nodiscard]] std::uint64_t NextNumber() const { return mNext; }
 
@@ -73,8 +73,8 @@
 {
 public:
   chen_estimator(const chen_options& aOptions, duration aPeriod);
-  void Arrived(const heartbeat& aHeartbeat);
-  [[nodiscard]] time_point Overdue() const;
+  void OnHeartbeat(const heartbeat& aHeartbeat);
+  [[nodiscard]] time_point FreshnessPoint() const;
 
 private:
   chen_options mOptions;
@@ -92,7 +92,7 @@
   double mGamma = 0.1;        // Weight of the newest error.
   double mBeta = 1;
   double mPhi = 2;
-  duration mFirstDelay = milliseconds(100);
+  duration mInitialDelay = milliseconds(100);
   duration mModerationStep = milliseconds(1);
 };
 
@@ -100,8 +100,8 @@
 {
 public:
   bertier_estimator(const bertier_options& aOptions, duration aPeriod);
-  void Arrived(const heartbeat& aHeartbeat);
-  [[nodiscard]] time_point Overdue() const;
+  void OnHeartbeat(const heartbeat& aHeartbeat);
+  [[nodiscard]] time_point FreshnessPoint() const;
 
 private:
   bertier_options mOptions;
--- a/oriolewalk/detector/failure_detector.cc
+++ b/oriolewalk/detector/failure_detector.cc
@@ -38,47 +38,48 @@
 failure_detector::Start(time_point aNow)
 {
   mEstimator = MakeEstimator();
-  mHeard = false;
-  mStarted = aNow;
-  mLastObserved = aNow;
-  mNotBefore = aNow;
+  mHasHeartbeat = false;
+  mStartTime = aNow;
+  mLastTick = aNow;
+  mNoSuspicionBefore = aNow;
 }
 
 void
-failure_detector::Arrived(std::uint64_t aNumber, time_point aNow)
+failure_detector::OnHeartbeat(std::uint64_t aNumber, time_point aNow)
 {
-  if (mHeard && aNumber <= mLastNumber) {
+  if (mHasHeartbeat && aNumber <= mLastNumber) {
     return;
   }
-  Observed(aNow);
-  mHeard = true;
+  OnTick(aNow);
+  mHasHeartbeat = true;
   mLastNumber = aNumber;
   std::visit(
     [&](auto& aEstimator) {
-      aEstimator.Arrived({ aNumber, aNow });
+      aEstimator.OnHeartbeat({ aNumber, aNow });
     },
     mEstimator);
 }
 
 void
-failure_detector::Observed(time_point aNow)
+failure_detector::OnTick(time_point aNow)
 {
-  if (aNow - mLastObserved > mOptions.mOwnPause) {
+  if (aNow - mLastTick > mOptions.mObserverPauseThreshold) {
     // Time for what waits in the sockets, and for one heartbeat more.
-    mNotBefore = aNow + mOptions.mPeriod;
+    mNoSuspicionBefore = aNow + mOptions.mPeriod;
   }
-  mLastObserved = std::max(mLastObserved, aNow);
+  mLastTick = std::max(mLastTick, aNow);
 }
 
 time_point
-failure_detector::SuspectAt() const
+failure_detector::SuspicionTime() const
 {
-  const auto overdue =
-    mHeard
-      ? std::visit([](const auto& aEstimator) { return aEstimator.Overdue(); },
-                   mEstimator)
-      : mStarted + mOptions.mFirstTimeout;
-  return std::max(overdue, mNotBefore);
+  const auto freshnessPoint =
+    mHasHeartbeat
+      ? std::visit(
+          [](const auto& aEstimator) { return aEstimator.FreshnessPoint(); },
+          mEstimator)
+      : mStartTime + mOptions.mInitialTimeout;
+  return std::max(freshnessPoint, mNoSuspicionBefore);
 }
 
 } // namespace oriolewalk::detector
--- a/oriolewalk/detector/failure_detector.h
+++ b/oriolewalk/detector/failure_detector.h
@@ -5,9 +5,9 @@
 //
 //   failure_detector detector({});       // the default that measured best
 //   detector.Start(now);
-//   detector.Arrived(number, now);       // each heartbeat, as it comes
-//   detector.Observed(now);              // a few times a period
-//   if (detector.Suspects(now)) { ... }  // until the next heartbeat
+//   detector.OnHeartbeat(number, now);       // each heartbeat, as it comes
+//   detector.OnTick(now);              // a few times a period
+//   if (detector.IsSuspected(now)) { ... }  // until the next heartbeat
 //
 // Which estimate is the default, and the figures: docs/DETECTOR.md.
 
@@ -24,9 +24,9 @@
   duration mPeriod = milliseconds(500);
   estimator_options mEstimator = fixed_options{}; // Measured best.
   // Before the first heartbeat, counted from Start.
-  duration mFirstTimeout = seconds(3);
-  // Observed is called at least so often; a longer gap was our own pause.
-  duration mOwnPause = milliseconds(250);
+  duration mInitialTimeout = seconds(3);
+  // OnTick is called at least so often; a longer gap was our own pause.
+  duration mObserverPauseThreshold = milliseconds(250);
 };
 
 // For one peer. Owned by the thread that receives its heartbeats. Sans-I/O.
@@ -41,31 +41,31 @@
   // A heartbeat with the sender's number: the periods that have passed on its
   // clock since it started, so that a pause of the sender doesn't shift the
   // numbers against the time. Old and repeated numbers are ignored.
-  void Arrived(std::uint64_t aNumber, time_point aNow);
+  void OnHeartbeat(std::uint64_t aNumber, time_point aNow);
   // The observer runs. If it did not for a while, the heartbeats of that while
   // wait in its sockets: without the credit that this gives, a process that
   // was stopped for some seconds would wake up and suspect every healthy peer
   // at once.
-  void Observed(time_point aNow);
+  void OnTick(time_point aNow);
 
-  [[nodiscard]] bool Suspects(time_point aNow) const
+  [[nodiscard]] bool IsSuspected(time_point aNow) const
   {
-    return aNow >= SuspectAt();
+    return aNow >= SuspicionTime();
   }
   // When the peer becomes suspect if nothing comes before.
-  [[nodiscard]] time_point SuspectAt() const;
+  [[nodiscard]] time_point SuspicionTime() const;
 
 private:
   [[nodiscard]] estimator MakeEstimator() const;
 
   detector_options mOptions;
   estimator mEstimator;
-  bool mHeard = false;
+  bool mHasHeartbeat = false;
   std::uint64_t mLastNumber = 0;
-  time_point mStarted;
-  time_point mLastObserved;
+  time_point mStartTime;
+  time_point mLastTick;
   // Not before: the observer has only just woken.
-  time_point mNotBefore;
+  time_point mNoSuspicionBefore;
 };
 
 } // namespace oriolewalk::detector
--- a/testing/detector/detector_test.cc
+++ b/testing/detector/detector_test.cc
@@ -26,7 +26,8 @@
 }
 
 failure_detector
-Started(const estimator_options& aEstimator = detector_options{}.mEstimator)
+StartedDetector(
+  const estimator_options& aEstimator = detector_options{}.mEstimator)
 {
   failure_detector detector({ .mPeriod = kPeriod, .mEstimator = aEstimator });
   detector.Start(kStart);
@@ -37,30 +38,30 @@
 
 TEST_CASE("a silent peer is suspected, one that speaks again is not")
 {
-  auto detector = Started();
-  CHECK_FALSE(detector.Suspects(kStart));
-  CHECK(detector.Suspects(kStart + seconds(3))); // Never heard at all.
+  auto detector = StartedDetector();
+  CHECK_FALSE(detector.IsSuspected(kStart));
+  CHECK(detector.IsSuspected(kStart + seconds(3))); // Never heard at all.
   detector.Start(kStart);
-  detector.Arrived(0, Due(0));
-  detector.Arrived(1, Due(1));
-  const auto at = detector.SuspectAt();
+  detector.OnHeartbeat(0, Due(0));
+  detector.OnHeartbeat(1, Due(1));
+  const auto at = detector.SuspicionTime();
   CHECK(at == Due(1) + milliseconds(1750));
-  CHECK_FALSE(detector.Suspects(at - nanoseconds(1)));
-  CHECK(detector.Suspects(at));
-  detector.Arrived(5, at + seconds(1));
-  CHECK_FALSE(detector.Suspects(at + seconds(1)));
+  CHECK_FALSE(detector.IsSuspected(at - nanoseconds(1)));
+  CHECK(detector.IsSuspected(at));
+  detector.OnHeartbeat(5, at + seconds(1));
+  CHECK_FALSE(detector.IsSuspected(at + seconds(1)));
 }
 
 TEST_CASE("late and repeated heartbeats prove nothing")
 {
   // The network delivers an old heartbeat again after the peer has died. Were
   // it taken for life, the dead peer would get work for another timeout.
-  auto detector = Started();
-  detector.Arrived(7, Due(7));
-  const auto at = detector.SuspectAt();
-  detector.Arrived(7, Due(8));
-  detector.Arrived(6, Due(9));
-  CHECK(detector.SuspectAt() == at);
+  auto detector = StartedDetector();
+  detector.OnHeartbeat(7, Due(7));
+  const auto at = detector.SuspicionTime();
+  detector.OnHeartbeat(7, Due(8));
+  detector.OnHeartbeat(6, Due(9));
+  CHECK(detector.SuspicionTime() == at);
 }
 
 TEST_CASE("an observer that was stopped does not suspect healthy peers")
@@ -72,16 +73,16 @@
                                                    chen_options{},
                                                    bertier_options{} };
   for (const auto& kind : kinds) {
-    auto detector = Started(kind);
+    auto detector = StartedDetector(kind);
     for (std::uint64_t number = 0; number < 20; ++number) {
-      detector.Arrived(number, Due(number));
-      detector.Observed(Due(number) + milliseconds(250));
+      detector.OnHeartbeat(number, Due(number));
+      detector.OnTick(Due(number) + milliseconds(250));
     }
     const auto woken = Due(19) + milliseconds(250) + seconds(5);
-    detector.Observed(woken);
-    CHECK_FALSE(detector.Suspects(woken));
-    CHECK_FALSE(detector.Suspects(woken + kPeriod - nanoseconds(1)));
-    CHECK(detector.Suspects(woken + kPeriod));
+    detector.OnTick(woken);
+    CHECK_FALSE(detector.IsSuspected(woken));
+    CHECK_FALSE(detector.IsSuspected(woken + kPeriod - nanoseconds(1)));
+    CHECK(detector.IsSuspected(woken + kPeriod));
   }
 }
 
@@ -96,17 +97,17 @@
     if (random.Below(10) == 0) {
       continue;
     }
-    const heartbeat beat{ number,
-                          Due(number) + microseconds(random.Below(90'000)) };
-    chen.Arrived(beat);
-    seen.push_back(beat);
+    const heartbeat arrival{ number,
+                             Due(number) + microseconds(random.Below(90'000)) };
+    chen.OnHeartbeat(arrival);
+    seen.push_back(arrival);
     const auto used = std::min(seen.size(), kWindow);
     duration sum{};
     for (auto i = seen.size() - used; i < seen.size(); ++i) {
-      sum += seen[i].mArrived - Due(seen[i].mNumber);
+      sum += seen[i].mArrivalTime - Due(seen[i].mNumber);
     }
     const auto expected = Due(number + 1) + sum / static_cast<int>(used);
-    const auto off = chen.Overdue() - milliseconds(300) - expected;
+    const auto off = chen.FreshnessPoint() - milliseconds(300) - expected;
     REQUIRE(std::chrono::abs(off) <= nanoseconds(1));
   }
 }
@@ -117,20 +118,21 @@
   // var); the margin is beta delay + phi var. By hand for two heartbeats that
   // come 40 ms late after one that came in time.
   bertier_options options;
-  options.mFirstDelay = milliseconds(20);
+  options.mInitialDelay = milliseconds(20);
   bertier_estimator estimate(options, kPeriod);
-  estimate.Arrived({ 0, Due(0) });
-  CHECK(estimate.Overdue() == Due(1) + milliseconds(20));
+  estimate.OnHeartbeat({ 0, Due(0) });
+  CHECK(estimate.FreshnessPoint() == Due(1) + milliseconds(20));
   // Late by 40 against EA = Due(1): error 20, delay 22, var 2; it had been
   // suspected since 20 ms, so the moderation rises to 1 ms.
-  estimate.Arrived({ 1, Due(1) + milliseconds(40) });
-  CHECK(estimate.Overdue() == Due(2) + milliseconds(20) + milliseconds(22) +
-                                milliseconds(4) + milliseconds(1));
+  estimate.OnHeartbeat({ 1, Due(1) + milliseconds(40) });
+  CHECK(estimate.FreshnessPoint() == Due(2) + milliseconds(20) +
+                                       milliseconds(22) + milliseconds(4) +
+                                       milliseconds(1));
   // EA = Due(2) + 20: error 40 - 20 - 22 = -2, delay 21.8, var 2; in time.
-  estimate.Arrived({ 2, Due(2) + milliseconds(40) });
+  estimate.OnHeartbeat({ 2, Due(2) + milliseconds(40) });
   const auto mean = microseconds(26'667); // Of 0, 40 and 40 ms.
-  const auto off = estimate.Overdue() - Due(3) - mean - microseconds(21'800) -
-                   milliseconds(4) - milliseconds(1);
+  const auto off = estimate.FreshnessPoint() - Due(3) - mean -
+                   microseconds(21'800) - milliseconds(4) - milliseconds(1);
   CHECK(std::chrono::abs(off) < microseconds(1));
 }
 
@@ -138,13 +140,13 @@
 {
   // What the users see otherwise: a healthy target is removed, and its callers
   // wait for the others. docs/DETECTOR.md has the figures for the choice.
-  auto detector = Started();
+  auto detector = StartedDetector();
   std::uint64_t number = 0;
   for (int round = 0; round < 100; ++round) {
-    detector.Arrived(number, Due(number));
+    detector.OnHeartbeat(number, Due(number));
     for (const auto late : { kPeriod, kPeriod * 2, kPeriod * 3 }) {
-      detector.Observed(Due(number) + late - milliseconds(1));
-      REQUIRE_FALSE(detector.Suspects(Due(number) + late));
+      detector.OnTick(Due(number) + late - milliseconds(1));
+      REQUIRE_FALSE(detector.IsSuspected(Due(number) + late));
     }
     number += 3;
   }
