--- a/bench/detector_bench.cc
+++ b/bench/detector_bench.cc
@@ -1,9 +1,10 @@
-// The three estimates side by side on the same seeded arrival series: how long
-// a dead peer is believed alive, how often a living one is suspected, and for
-// how long.
+// Compares the three estimators on the same seeded heartbeat traces: how long
+// it takes to detect a failed peer, how often a healthy peer is suspected, and
+// how long each false suspicion lasts.
 //
-// Each figure is over kRuns lives of a peer that beats each 500 ms for ten
-// minutes and then dies, on one kind of network or machine.
+// Each result covers kRuns traces of one kind of network or machine. In each
+// trace, a peer sends a heartbeat every 500 ms for ten minutes and then
+// crashes.
 
 #include <algorithm>
 #include <array>
@@ -34,21 +35,21 @@
 constexpr duration kPeriod = milliseconds(500);
 constexpr duration kTraceLength = std::chrono::minutes(10);
 constexpr duration kTick = milliseconds(100);
-constexpr int kRuns = 60; // Ten hours of life for each figure.
+constexpr int kRuns = 60; // Ten hours of heartbeats per result.
 constexpr double kHours = 10;
 
-// What befalls the heartbeats of one kind of series.
+// The delays, losses and pauses that one kind of trace simulates.
 struct series_kind
 {
   std::string_view mName;
   duration mDelay = milliseconds(1);
-  duration mJitter{}; // Mean of an exponential delay on top.
-  double mLoss = 0;   // Chance for each heartbeat.
-  // The peer stands still for a span between these, about each half minute;
-  // what it would have sent meanwhile is left out, as a timer does.
+  duration mJitter{}; // The mean of an additional exponential delay.
+  double mLoss = 0;   // The probability that a heartbeat is lost.
+  // The peer pauses about every 30 seconds for a time between these bounds. It
+  // skips the heartbeats that were due in the pause, as a periodic timer does.
   duration mMinPause{};
   duration mMaxPause{};
-  // It is the observer that stands still.
+  // The observer pauses instead of the peer.
   bool mObserverPauses = false;
 };
 
@@ -113,7 +114,7 @@
   return std::chrono::duration_cast<duration>(aSpan * aFactor);
 }
 
-// Log-uniform lengths: short pauses are more common than long ones.
+// Draws log-uniform lengths, so short pauses are more common than long ones.
 std::vector<time_interval>
 MakePauses(const series_kind& aKind, random_source& aRandom)
 {
@@ -145,7 +146,7 @@
 
 struct heartbeat_trace
 {
-  std::vector<heartbeat> mArrivals; // In order of arrival.
+  std::vector<heartbeat> mArrivals; // In the order of arrival.
   std::vector<time_interval> mObserverPauses;
   time_point mCrashTime;
 };
@@ -156,8 +157,8 @@
   time_point mSendTime;
 };
 
-// Of the beats that fall due in a pause, one is sent on waking, under the
-// number of that moment.
+// For all heartbeats that are due in a pause, the peer sends one when it
+// resumes, with the number of the period in which it resumes.
 std::vector<sent_heartbeat>
 MakeSentHeartbeats(time_point aCrashTime,
                    std::span<const time_interval> aPauses)
@@ -206,8 +207,8 @@
   std::vector<duration> mMistakes;
 };
 
-// Lets a detector live through a series as a process would: a look each tick,
-// but none while it is paused itself.
+// Replays a trace to a detector as a process would: it checks the peer on each
+// tick, except while the observer itself is paused.
 class observer
 {
 public:
--- a/oriolewalk/detector/estimators.cc
+++ b/oriolewalk/detector/estimators.cc
@@ -97,7 +97,7 @@
 {
   if (!mWindow.IsEmpty()) {
     if (aHeartbeat.mArrivalTime >= FreshnessPoint()) {
-      mModeration += mOptions.mModerationStep; // It was suspected wrongly.
+      mModeration += mOptions.mModerationStep; // False suspicion.
     }
     const auto expected = mWindow.ExpectedArrival(aHeartbeat.mNumber);
     const auto error = aHeartbeat.mArrivalTime - expected - mDelay;
--- a/oriolewalk/detector/estimators.h
+++ b/oriolewalk/detector/estimators.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// Three ways to say when the next heartbeat is overdue (the freshness point).
-// All count the time from one observer's clock; heartbeats bear numbers, from
-// 0, one each period, so that a lost one isn't taken for a slow one.
+// Three estimators of the freshness point: the time from which the next
+// heartbeat is overdue. All times are read from the observer's clock. The
+// sender numbers its heartbeats from 0, one per period, so that an estimator
+// can distinguish a lost heartbeat from a slow one.
 
 #include <cstddef>
 #include <cstdint>
@@ -19,11 +20,11 @@
   time_point mArrivalTime;
 };
 
-// A heartbeat is overdue so long after the last arrival.
+// The next heartbeat is overdue a fixed timeout after the last arrival.
 struct fixed_options
 {
-  // Three and a half periods: three heartbeats in a row may be lost, or the
-  // peer may pause for a second, without a suspicion (docs/DETECTOR.md).
+  // Three and a half periods: two heartbeats in a row may be lost, or the peer
+  // may pause for a second, without a suspicion (docs/DETECTOR.md).
   duration mTimeout = milliseconds(1750);
 };
 
@@ -39,15 +40,16 @@
   time_point mLastArrival;
 };
 
-// Where the arrivals of the last n heartbeats, moved to number 0, lie on
-// average: the ground of both estimates below. Cost: constant; 8 bytes for
-// each of n.
+// Averages the arrival times of the last aSize heartbeats after shifting each
+// back to number 0. Both adaptive estimators below build on this average.
+// Cost: constant time per call; 8 bytes per heartbeat in the window.
 class arrival_window
 {
 public:
   arrival_window(std::size_t aSize, duration aPeriod);
   void Add(const heartbeat& aHeartbeat);
-  // When the heartbeat of that number is expected (EA).
+  // Returns the expected arrival time (EA) of heartbeat aNumber. The window
+  // must not be empty.
   [[nodiscard]] time_point ExpectedArrival(std::uint64_t aNumber) const;
   [[nodiscard]] bool IsEmpty() const { return mOffsets.empty(); }
   [[nodiscard]] std::uint64_t NextNumber() const { return mNext; }
@@ -55,14 +57,15 @@
 private:
   std::size_t mSize;
   duration mPeriod;
-  time_point mOrigin; // Of the offsets, so that their sum stays small.
+  time_point mOrigin; // Offsets are relative to it, which keeps mSum small.
   std::deque<duration> mOffsets;
   duration mSum{};
   std::uint64_t mNext = 0;
 };
 
 // W. Chen, S. Toueg, M. K. Aguilera: On the quality of service of failure
-// detectors. The expected arrival plus a constant margin.
+// detectors. The freshness point is the expected arrival plus a constant
+// margin.
 struct chen_options
 {
   std::size_t mWindow = 100;
@@ -82,14 +85,14 @@
 };
 
 // M. Bertier, O. Marin, P. Sens: Implementation and performance evaluation of
-// an adaptable failure detector. Chen's expected arrival plus a margin that
-// follows the errors of the estimate, as Jacobson's does for retransmission;
-// and the moderation of their figure 1: each false suspicion lengthens the
-// wait before the next.
+// an adaptable failure detector. The freshness point is Chen's expected
+// arrival plus a margin that adapts to the estimation error, like Jacobson's
+// retransmission timeout. The moderation of their figure 1 is included: each
+// false suspicion lengthens the timeout.
 struct bertier_options
 {
-  std::size_t mWindow = 1000; // Their n.
-  double mGamma = 0.1;        // Weight of the newest error.
+  std::size_t mWindow = 1000; // The paper's n.
+  double mGamma = 0.1;        // The weight of the newest error.
   double mBeta = 1;
   double mPhi = 2;
   duration mInitialDelay = milliseconds(100);
--- a/oriolewalk/detector/failure_detector.cc
+++ b/oriolewalk/detector/failure_detector.cc
@@ -64,7 +64,8 @@
 failure_detector::OnTick(time_point aNow)
 {
   if (aNow - mLastTick > mOptions.mObserverPauseThreshold) {
-    // Time for what waits in the sockets, and for one heartbeat more.
+    // Allows time to read the heartbeats that wait in the sockets and to
+    // receive one more.
     mNoSuspicionBefore = aNow + mOptions.mPeriod;
   }
   mLastTick = std::max(mLastTick, aNow);
--- a/oriolewalk/detector/failure_detector.h
+++ b/oriolewalk/detector/failure_detector.h
@@ -1,15 +1,16 @@
 #pragma once
 
-// Is a peer alive? By its heartbeats alone: a reset connection proves nothing,
-// and silence is all that a dead machine sends.
+// Decides from heartbeats alone whether a peer is alive. A reset connection
+// doesn't prove that the peer has failed, and a machine that has failed only
+// stops sending.
 //
-//   failure_detector detector({});       // the default that measured best
+//   failure_detector detector({});          // the default estimator
 //   detector.Start(now);
-//   detector.OnHeartbeat(number, now);       // each heartbeat, as it comes
-//   detector.OnTick(now);              // a few times a period
+//   detector.OnHeartbeat(number, now);      // for each heartbeat received
+//   detector.OnTick(now);                   // a few times per period
 //   if (detector.IsSuspected(now)) { ... }  // until the next heartbeat
 //
-// Which estimate is the default, and the figures: docs/DETECTOR.md.
+// docs/DETECTOR.md compares the estimators and explains the default.
 
 #include <cstdint>
 
@@ -20,39 +21,41 @@
 
 struct detector_options
 {
-  // How often the peer sends.
+  // The interval at which the peer sends heartbeats.
   duration mPeriod = milliseconds(500);
-  estimator_options mEstimator = fixed_options{}; // Measured best.
-  // Before the first heartbeat, counted from Start.
+  estimator_options mEstimator = fixed_options{};
+  // The timeout for the first heartbeat, counted from Start.
   duration mInitialTimeout = seconds(3);
-  // OnTick is called at least so often; a longer gap was our own pause.
+  // The maximum interval between calls of OnTick. A longer gap means that the
+  // observer itself was paused.
   duration mObserverPauseThreshold = milliseconds(250);
 };
 
-// For one peer. Owned by the thread that receives its heartbeats. Sans-I/O.
-// Cost: constant for each call.
+// Monitors one peer. Owned by the thread that receives the peer's heartbeats.
+// Sans-I/O. Cost: constant time per call.
 class failure_detector
 {
 public:
   explicit failure_detector(const detector_options& aOptions);
 
-  // Watching begins. Also after the peer was replaced: all is forgotten.
+  // Starts monitoring and discards all earlier state. Call it again after the
+  // peer was replaced.
   void Start(time_point aNow);
-  // A heartbeat with the sender's number: the periods that have passed on its
-  // clock since it started, so that a pause of the sender doesn't shift the
-  // numbers against the time. Old and repeated numbers are ignored.
+  // Records a heartbeat. aNumber is the number of periods that have passed on
+  // the sender's clock since it started, so a pause of the sender doesn't shift
+  // the numbers relative to time. Old and repeated numbers are ignored.
   void OnHeartbeat(std::uint64_t aNumber, time_point aNow);
-  // The observer runs. If it did not for a while, the heartbeats of that while
-  // wait in its sockets: without the credit that this gives, a process that
-  // was stopped for some seconds would wake up and suspect every healthy peer
-  // at once.
+  // Records that the observer is running. After a pause of the observer, the
+  // heartbeats sent in the pause still wait in its sockets, so no peer is
+  // suspected for one period. Without this grace period, a process that was
+  // stopped for some seconds would suspect every healthy peer when it resumes.
   void OnTick(time_point aNow);
 
   [[nodiscard]] bool IsSuspected(time_point aNow) const
   {
     return aNow >= SuspicionTime();
   }
-  // When the peer becomes suspect if nothing comes before.
+  // Returns when the peer becomes suspected if no heartbeat arrives first.
   [[nodiscard]] time_point SuspicionTime() const;
 
 private:
@@ -64,7 +67,7 @@
   std::uint64_t mLastNumber = 0;
   time_point mStartTime;
   time_point mLastTick;
-  // Not before: the observer has only just woken.
+  // The end of the grace period after a pause of the observer.
   time_point mNoSuspicionBefore;
 };
 
--- a/testing/detector/detector_test.cc
+++ b/testing/detector/detector_test.cc
@@ -40,7 +40,7 @@
 {
   auto detector = StartedDetector();
   CHECK_FALSE(detector.IsSuspected(kStart));
-  CHECK(detector.IsSuspected(kStart + seconds(3))); // Never heard at all.
+  CHECK(detector.IsSuspected(kStart + seconds(3))); // No heartbeat at all.
   detector.Start(kStart);
   detector.OnHeartbeat(0, Due(0));
   detector.OnHeartbeat(1, Due(1));
@@ -54,8 +54,8 @@
 
 TEST_CASE("late and repeated heartbeats prove nothing")
 {
-  // The network delivers an old heartbeat again after the peer has died. Were
-  // it taken for life, the dead peer would get work for another timeout.
+  // The network delivers an old heartbeat again after the peer has failed. If
+  // it counted as new, the failed peer would get work for another timeout.
   auto detector = StartedDetector();
   detector.OnHeartbeat(7, Due(7));
   const auto at = detector.SuspicionTime();
@@ -66,9 +66,9 @@
 
 TEST_CASE("an observer that was stopped does not suspect healthy peers")
 {
-  // The process is stopped for five seconds and goes on. Before it reads its
-  // sockets, in which the heartbeats wait, it looks at its peers: none may be
-  // suspected. A peer that is really dead is, one period later.
+  // The process is stopped for five seconds and resumes. It checks its peers
+  // before it reads the heartbeats that wait in its sockets, so it must not
+  // suspect any peer yet. A peer that has failed is suspected one period later.
   const std::array<estimator_options, 3> kinds = { fixed_options{},
                                                    chen_options{},
                                                    bertier_options{} };
@@ -88,7 +88,8 @@
 
 TEST_CASE("Chen: the mean of the window, moved by the period")
 {
-  // Against the definition, computed anew for each heartbeat, with losses.
+  // Compares the estimator, with lost heartbeats, to the paper's definition
+  // computed from scratch for each heartbeat.
   constexpr std::size_t kWindow = 10;
   random_source random(GENERATE(1U, 2U, 3U));
   chen_estimator chen({ kWindow, milliseconds(300) }, kPeriod);
@@ -115,22 +116,23 @@
 TEST_CASE("Bertier: the margin follows the errors as the paper has it")
 {
   // error = A - EA - delay; delay += gamma error; var += gamma (|error| -
-  // var); the margin is beta delay + phi var. By hand for two heartbeats that
-  // come 40 ms late after one that came in time.
+  // var); the margin is beta delay + phi var. The expected values are computed
+  // by hand for two heartbeats that arrive 40 ms late after one on time.
   bertier_options options;
   options.mInitialDelay = milliseconds(20);
   bertier_estimator estimate(options, kPeriod);
   estimate.OnHeartbeat({ 0, Due(0) });
   CHECK(estimate.FreshnessPoint() == Due(1) + milliseconds(20));
-  // Late by 40 against EA = Due(1): error 20, delay 22, var 2; it had been
-  // suspected since 20 ms, so the moderation rises to 1 ms.
+  // The heartbeat is 40 ms later than EA = Due(1): error 20, delay 22, var 2.
+  // The peer was suspected from 20 ms on, so the moderation rises to 1 ms.
   estimate.OnHeartbeat({ 1, Due(1) + milliseconds(40) });
   CHECK(estimate.FreshnessPoint() == Due(2) + milliseconds(20) +
                                        milliseconds(22) + milliseconds(4) +
                                        milliseconds(1));
-  // EA = Due(2) + 20: error 40 - 20 - 22 = -2, delay 21.8, var 2; in time.
+  // EA = Due(2) + 20: error 40 - 20 - 22 = -2, delay 21.8, var 2. There was no
+  // suspicion.
   estimate.OnHeartbeat({ 2, Due(2) + milliseconds(40) });
-  const auto mean = microseconds(26'667); // Of 0, 40 and 40 ms.
+  const auto mean = microseconds(26'667); // The mean of 0, 40 and 40 ms.
   const auto off = estimate.FreshnessPoint() - Due(3) - mean -
                    microseconds(21'800) - milliseconds(4) - milliseconds(1);
   CHECK(std::chrono::abs(off) < microseconds(1));
@@ -138,8 +140,8 @@
 
 TEST_CASE("the default forgives two lost heartbeats and a pause of a second")
 {
-  // What the users see otherwise: a healthy target is removed, and its callers
-  // wait for the others. docs/DETECTOR.md has the figures for the choice.
+  // With a shorter timeout, a healthy target is removed and its callers wait
+  // for the other targets. docs/DETECTOR.md compares the timeouts.
   auto detector = StartedDetector();
   std::uint64_t number = 0;
   for (int round = 0; round < 100; ++round) {
