--- a/oriolewalk/control/control_metrics.cc
+++ b/oriolewalk/control/control_metrics.cc
@@ -150,7 +150,7 @@
 void
 control_metrics::NoteWrite(const voter::write_done& aDone)
 {
-  mSync.Add(std::chrono::duration<double, std::milli>(aDone.mTook).count());
+  mSync.Add(std::chrono::duration<double, std::milli>(aDone.mElapsed).count());
 }
 
 } // namespace oriolewalk::control
--- a/oriolewalk/voter/storage_thread.cc
+++ b/oriolewalk/voter/storage_thread.cc
@@ -62,9 +62,9 @@
 }
 
 storage_thread::storage_thread(std::unique_ptr<storage::data_folder> aFolder,
-                               done_function aDone)
+                               done_function aOnDone)
   : mFolder(std::move(aFolder))
-  , mDone(std::move(aDone))
+  , mOnDone(std::move(aOnDone))
   , mThread([this]() { Run(); })
 {
 }
@@ -90,7 +90,7 @@
 }
 
 std::vector<write_batch>
-storage_thread::Wait()
+storage_thread::WaitForBatches()
 {
   std::unique_lock lock(mMutex);
   mWake.wait(lock, [this]() { return mStopping || !mQueue.empty(); });
@@ -101,13 +101,13 @@
 storage_thread::Run()
 {
   for (;;) {
-    const std::vector<write_batch> batches = Wait();
+    const std::vector<write_batch> batches = WaitForBatches();
     if (batches.empty()) {
       return;
     }
-    write_done done = WriteAll(batches);
+    write_done done = WriteBatches(batches);
     const bool failed = done.mFailure.has_value();
-    mDone(std::move(done));
+    mOnDone(std::move(done));
     if (failed) {
       return;
     }
@@ -115,13 +115,13 @@
 }
 
 write_done
-storage_thread::WriteAll(const std::vector<write_batch>& aBatches)
+storage_thread::WriteBatches(const std::vector<write_batch>& aBatches)
 {
   const time_point start = runtime_clock::now();
   write_done done;
   done.mBatches = aBatches.size();
   for (const write_batch& batch : aBatches) {
-    if (const auto written = WriteOne(batch); !written) {
+    if (const auto written = WriteBatch(batch); !written) {
       done.mFailure = written.error().At("storing");
       return done;
     }
@@ -133,12 +133,12 @@
   if (const auto synced = mFolder->Sync(); !synced) {
     done.mFailure = synced.error().At("storing");
   }
-  done.mTook = runtime_clock::now() - start;
+  done.mElapsed = runtime_clock::now() - start;
   return done;
 }
 
 result<void>
-storage_thread::WriteOne(const write_batch& aBatch)
+storage_thread::WriteBatch(const write_batch& aBatch)
 {
   result<void> outcome;
   if (aBatch.mHardState) {
--- a/oriolewalk/voter/storage_thread.h
+++ b/oriolewalk/voter/storage_thread.h
@@ -33,7 +33,7 @@
   consensus::ticket_t mTicket = 0;
   std::shared_ptr<const consensus::snapshot> mSnapshot;
   std::size_t mBatches = 0;
-  duration mTook{};
+  duration mElapsed{};
   std::optional<error> mFailure;
 };
 
@@ -44,7 +44,7 @@
   using done_function = std::function<void(write_done)>;
 
   storage_thread(std::unique_ptr<storage::data_folder> aFolder,
-                 done_function aDone);
+                 done_function aOnDone);
   // Writes what is queued, then ends.
   ~storage_thread();
   storage_thread(const storage_thread&) = delete;
@@ -56,12 +56,12 @@
 
 private:
   void Run();
-  std::vector<write_batch> Wait();
-  write_done WriteAll(const std::vector<write_batch>& aBatches);
-  result<void> WriteOne(const write_batch& aBatch);
+  std::vector<write_batch> WaitForBatches();
+  write_done WriteBatches(const std::vector<write_batch>& aBatches);
+  result<void> WriteBatch(const write_batch& aBatch);
 
   std::unique_ptr<storage::data_folder> mFolder;
-  done_function mDone;
+  done_function mOnDone;
   std::mutex mMutex;
   std::condition_variable mWake;
   std::vector<write_batch> mQueue;
