--- a/oriolewalk/voter/storage_thread.h
+++ b/oriolewalk/voter/storage_thread.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// Writes what the core wants stored, on a thread of its own, so that the
+// Writes the core's batches to storage on a separate thread, so that the
 // control thread never waits for a disk.
 //
 //   storage_thread writer(std::move(folder), OnDone);
-//   writer.Write(std::move(batch));   // OnDone after it is durable
+//   writer.Write(std::move(batch));   // calls OnDone after it is durable
 //
-// Group commit: all batches that came while the last sync ran are written with
-// one sync. Under load the batches grow by themselves, and a lone write waits
-// for nobody.
+// Uses group commit: all batches queued during a sync are written together with
+// one sync. Under load more batches share a sync, and a single write without
+// load starts at once.
 
 #include <condition_variable>
 #include <functional>
@@ -26,8 +26,8 @@
 
 namespace oriolewalk::voter {
 
-// A sync is over: everything up to mTicket is durable, or mFailure says why
-// nothing more will ever be.
+// The result of one sync. Either everything up to mTicket is durable, or
+// mFailure holds the error after which nothing more will become durable.
 struct write_done
 {
   consensus::ticket_t mTicket = 0;
@@ -37,7 +37,7 @@
   std::optional<error> mFailure;
 };
 
-// Write from any one thread. The callback runs on the storage thread.
+// Call Write from a single thread. The callback runs on the storage thread.
 class storage_thread
 {
 public:
@@ -45,7 +45,7 @@
 
   storage_thread(std::unique_ptr<storage::data_folder> aFolder,
                  done_function aOnDone);
-  // Writes what is queued, then ends.
+  // Writes the queued batches, then stops the thread.
   ~storage_thread();
   storage_thread(const storage_thread&) = delete;
   storage_thread& operator=(const storage_thread&) = delete;
@@ -69,7 +69,7 @@
   std::thread mThread;
 };
 
-// The stored form of the log and back.
+// Convert between the log in memory and its stored form.
 storage::log_record
 ToRecord(const consensus::log_entry& aEntry);
 storage::snapshot_record
--- a/oriolewalk/voter/write_batch.h
+++ b/oriolewalk/voter/write_batch.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What a replicated log wants stored.
+// The writes that a replicated log requests from storage.
 
 #include <memory>
 #include <optional>
@@ -10,15 +10,16 @@
 
 namespace oriolewalk::voter {
 
-// What is to be stored, in this order, before Persisted(mTicket).
+// The fields are stored in this order before Persisted(mTicket) is called.
 struct write_batch
 {
   consensus::ticket_t mTicket = 0;
   std::optional<consensus::hard_state> mHardState;
-  std::optional<consensus::snapshot> mInstalled; // replaces the whole log
+  std::optional<consensus::snapshot> mInstalled; // Replaces the whole log.
   std::optional<consensus::log_index> mTruncateFrom;
   std::vector<consensus::log_entry> mAppend;
-  // Our own snapshot; after it is durable, call SnapshotStored.
+  // The snapshot taken by this replica. Call SnapshotStored after it is
+  // durable.
   std::shared_ptr<const consensus::snapshot> mSnapshot;
 
   [[nodiscard]] bool IsEmpty() const
