--- a/oriolewalk/detector/estimators.h
+++ b/oriolewalk/detector/estimators.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// Three ways to say when the next heartbeat is overdue (the freshness point).
-// All count the time from one observer's clock; heartbeats bear numbers, from
-// 0, one each period, so that a lost one isn't taken for a slow one.
+// Three estimators of the freshness point: the time from which the next
+// heartbeat is overdue. All times are read from the observer's clock. The
+// sender numbers its heartbeats from 0, one per period, so that an estimator
+// can distinguish a lost heartbeat from a slow one.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,14 +17,14 @@
 struct heartbeat
 {
   std::uint64_t mNumber = 0;
-  time_point mArrived;
+  time_point mArrivalTime;
 };
 
-// A heartbeat is overdue so long after the last arrival.
+// The next heartbeat is overdue a fixed timeout after the last arrival.
 struct fixed_options
 {
-  // Three and a half periods: three heartbeats in a row may be lost, or the
-  // peer may pause for a second, without a suspicion (docs/DETECTOR.md).
+  // Three and a half periods: two heartbeats in a row may be lost, or the peer
+  // may pause for a second, without a suspicion (docs/DETECTOR.md).
   duration mTimeout = milliseconds(1750);
 };
 
@@ -31,38 +32,40 @@
 {
 public:
   fixed_estimator(const fixed_options& aOptions, duration aPeriod);
-  void Arrived(const heartbeat& aHeartbeat);
-  [[nodiscard]] time_point Overdue() const;
+  void OnHeartbeat(const heartbeat& aHeartbeat);
+  [[nodiscard]] time_point FreshnessPoint() const;
 
 private:
   fixed_options mOptions;
-  time_point mLast;
+  time_point mLastArrival;
 };
 
-// Where the arrivals of the last n heartbeats, moved to number 0, lie on
-// average: the ground of both estimates below. Cost: constant; 8 bytes for
-// each of n.
+// Averages the arrival times of the last aSize heartbeats after shifting each
+// back to number 0. Both adaptive estimators below build on this average.
+// Cost: constant time per call; 8 bytes per heartbeat in the window.
 class arrival_window
 {
 public:
   arrival_window(std::size_t aSize, duration aPeriod);
   void Add(const heartbeat& aHeartbeat);
-  // When the heartbeat of that number is expected (EA).
-  [[nodiscard]] time_point Expected(std::uint64_t aNumber) const;
+  // Returns the expected arrival time (EA) of heartbeat aNumber. The window
+  // must not be empty.
+  [[nodiscard]] time_point ExpectedArrival(std::uint64_t aNumber) const;
   [[nodiscard]] bool IsEmpty() const { return mOffsets.empty(); }
   [[nodiscard]] std::uint64_t NextNumber() const { return mNext; }
 
 private:
   std::size_t mSize;
   duration mPeriod;
-  time_point mOrigin; // Of the offsets, so that their sum stays small.
+  time_point mOrigin; // Offsets are relative to it, which keeps mSum small.
   std::deque<duration> mOffsets;
   duration mSum{};
   std::uint64_t mNext = 0;
 };
 
 // W. Chen, S. Toueg, M. K. Aguilera: On the quality of service of failure
-// detectors. The expected arrival plus a constant margin.
+// detectors. The freshness point is the expected arrival plus a constant
+// margin.
 struct chen_options
 {
   std::size_t mWindow = 100;
@@ -73,8 +76,8 @@
 {
 public:
   chen_estimator(const chen_options& aOptions, duration aPeriod);
-  void Arrived(const heartbeat& aHeartbeat);
-  [[nodiscard]] time_point Overdue() const;
+  void OnHeartbeat(const heartbeat& aHeartbeat);
+  [[nodiscard]] time_point FreshnessPoint() const;
 
 private:
   chen_options mOptions;
@@ -82,17 +85,17 @@
 };
 
 // M. Bertier, O. Marin, P. Sens: Implementation and performance evaluation of
-// an adaptable failure detector. Chen's expected arrival plus a margin that
-// follows the errors of the estimate, as Jacobson's does for retransmission;
-// and the moderation of their figure 1: each false suspicion lengthens the
-// wait before the next.
+// an adaptable failure detector. The freshness point is Chen's expected
+// arrival plus a margin that adapts to the estimation error, like Jacobson's
+// retransmission timeout. The moderation of their figure 1 is included: each
+// false suspicion lengthens the timeout.
 struct bertier_options
 {
-  std::size_t mWindow = 1000; // Their n.
-  double mGamma = 0.1;        // Weight of the newest error.
+  std::size_t mWindow = 1000; // The paper's n.
+  double mGamma = 0.1;        // The weight of the newest error.
   double mBeta = 1;
   double mPhi = 2;
-  duration mFirstDelay = milliseconds(100);
+  duration mInitialDelay = milliseconds(100);
   duration mModerationStep = milliseconds(1);
 };
 
@@ -100,8 +103,8 @@
 {
 public:
   bertier_estimator(const bertier_options& aOptions, duration aPeriod);
-  void Arrived(const heartbeat& aHeartbeat);
-  [[nodiscard]] time_point Overdue() const;
+  void OnHeartbeat(const heartbeat& aHeartbeat);
+  [[nodiscard]] time_point FreshnessPoint() const;
 
 private:
   bertier_options mOptions;
--- a/oriolewalk/voter/storage_thread.h
+++ b/oriolewalk/voter/storage_thread.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// Writes what the core wants stored, on a thread of its own, so that the
+// Writes the core's batches to storage on a separate thread, so that the
 // control thread never waits for a disk.
 //
 //   storage_thread writer(std::move(folder), OnDone);
-//   writer.Write(std::move(batch));   // OnDone after it is durable
+//   writer.Write(std::move(batch));   // calls OnDone after it is durable
 //
-// Group commit: all batches that came while the last sync ran are written with
-// one sync. Under load the batches grow by themselves, and a lone write waits
-// for nobody.
+// Uses group commit: all batches queued during a sync are written together with
+// one sync. Under load more batches share a sync, and a single write without
+// load starts at once.
 
 #include <condition_variable>
 #include <functional>
@@ -26,26 +26,26 @@
 
 namespace oriolewalk::voter {
 
-// A sync is over: everything up to mTicket is durable, or mFailure says why
-// nothing more will ever be.
+// The result of one sync. Either everything up to mTicket is durable, or
+// mFailure holds the error after which nothing more will become durable.
 struct write_done
 {
   consensus::ticket_t mTicket = 0;
   std::shared_ptr<const consensus::snapshot> mSnapshot;
   std::size_t mBatches = 0;
-  duration mTook{};
+  duration mElapsed{};
   std::optional<error> mFailure;
 };
 
-// Write from any one thread. The callback runs on the storage thread.
+// Call Write from a single thread. The callback runs on the storage thread.
 class storage_thread
 {
 public:
   using done_function = std::function<void(write_done)>;
 
   storage_thread(std::unique_ptr<storage::data_folder> aFolder,
-                 done_function aDone);
-  // Writes what is queued, then ends.
+                 done_function aOnDone);
+  // Writes the queued batches, then stops the thread.
   ~storage_thread();
   storage_thread(const storage_thread&) = delete;
   storage_thread& operator=(const storage_thread&) = delete;
@@ -56,12 +56,12 @@
 
 private:
   void Run();
-  std::vector<write_batch> Wait();
-  write_done WriteAll(const std::vector<write_batch>& aBatches);
-  result<void> WriteOne(const write_batch& aBatch);
+  std::vector<write_batch> WaitForBatches();
+  write_done WriteBatches(const std::vector<write_batch>& aBatches);
+  result<void> WriteBatch(const write_batch& aBatch);
 
   std::unique_ptr<storage::data_folder> mFolder;
-  done_function mDone;
+  done_function mOnDone;
   std::mutex mMutex;
   std::condition_variable mWake;
   std::vector<write_batch> mQueue;
@@ -69,7 +69,7 @@
   std::thread mThread;
 };
 
-// The stored form of the log and back.
+// Convert between the log in memory and its stored form.
 storage::log_record
 ToRecord(const consensus::log_entry& aEntry);
 storage::snapshot_record
