--- a/oriolewalk/cell/explain.cc
+++ b/oriolewalk/cell/explain.cc
@@ -1,4 +1,4 @@
-// Why a job stands where it stands, worker by worker in groups.
+// Explains a job's state, with the workers grouped by reason.
 
 #include <algorithm>
 #include <cstdint>
--- a/oriolewalk/cell/health.cc
+++ b/oriolewalk/cell/health.cc
@@ -11,11 +11,11 @@
 namespace oriolewalk::cell {
 namespace {
 
-// Three failures in a row of work that surely succeeds elsewhere, four of
-// families that nobody knows yet.
+// Reached by three consecutive failures of families that always succeed
+// elsewhere, or by four of families without other results.
 constexpr double kMostBlame = 2.0;
 constexpr std::uint32_t kLeastFailures = 3;
-// One family without other evidence is never enough.
+// One family without results from other workers is never enough.
 constexpr double kMostBlameOfAFamily = 1.5;
 constexpr double kUnknownRate = 0.5;
 constexpr seconds kFirstProbe{ 60 };
@@ -68,7 +68,7 @@
   counts& family = mFamilies[aFamily];
   family.mEnded += 1;
   family.mFailed += aFailed ? 1 : 0;
-  if (family.mEnded >= kHalveAt) { // Old results count less and less.
+  if (family.mEnded >= kHalveAt) { // Decays the weight of old results.
     family.mEnded /= 2;
     family.mFailed /= 2;
   }
--- a/oriolewalk/cell/health.h
+++ b/oriolewalk/cell/health.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// Finds workers that fail what others would finish.
+// Detects workers on which tasks fail that succeed on other workers.
 //
 //   health.Note(slot, "taksa/settlement", true, now);
 //   if (health.IsOut(slot, now)) { ... }
 //
-// The load it answers: a worker that fails all it starts is soon the emptiest
-// of all and so draws ever more work. A worker is taken out when it failed
-// work whose kind succeeds elsewhere; a job that fails everywhere is held
-// against no worker. Its own failure rate alone would condemn every worker
-// that a broken job visits.
+// A worker on which every task fails is soon the emptiest one and attracts ever
+// more work. A worker is taken out of service when tasks fail on it whose
+// family succeeds elsewhere. A job that fails everywhere counts against no
+// worker; a plain failure rate would take out every worker that a broken job
+// runs on.
 
 #include <cstdint>
 #include <map>
@@ -25,7 +25,7 @@
 enum class worker_standing : std::uint8_t
 {
   Good,
-  Out,     // Gets nothing.
+  Out,     // Gets no tasks.
   Probing, // Gets one repeatable task at a time.
 };
 
@@ -33,15 +33,15 @@
 class worker_health
 {
 public:
-  // The result of an attempt; stops and losses are not results.
+  // Records the result of an attempt; stops and losses are not results.
   void Note(worker_slot aSlot,
             const std::string& aFamily,
             bool aFailed,
             time_point aNow);
-  // The slot is another worker's now.
+  // Must be called when the slot is reused for another worker.
   void Reset(worker_slot aSlot);
-  // At most a fifth of aWorkers are out at once, and one of three or four:
-  // when more fail, the fault is not theirs.
+  // At most a fifth of aWorkers are out at once, or one if there are three or
+  // four. If more fail, the cause isn't the workers.
   void SetWorkers(std::size_t aWorkers) { mWorkers = aWorkers; }
   [[nodiscard]] worker_standing Standing(worker_slot aSlot,
                                          time_point aNow) const;
@@ -55,7 +55,7 @@
   };
   struct record
   {
-    // Since its latest success, by family.
+    // Failures since the latest success, by family.
     std::map<std::string, counts> mFailures;
     std::uint32_t mInARow = 0;
     bool mOut = false;
--- a/oriolewalk/cell/learning.cc
+++ b/oriolewalk/cell/learning.cc
@@ -14,10 +14,10 @@
 
 constexpr std::size_t kMostFamilies = 20'000;
 constexpr std::size_t kLeastRuns = 3;
-// A family is never thought to be larger than four times its word: a broken
-// usage report must not keep it from ever finding a place.
+// The estimate is at most four times the declared size: a broken usage report
+// must not make a family unplaceable.
 constexpr double kMostRatio = 4.0;
-// Each report moves a peak back by a hundredth of what is above the report.
+// Each report lowers the peak by a hundredth of its excess over the report.
 constexpr double kForget = 0.01;
 
 double
@@ -36,7 +36,7 @@
 std::int64_t
 Times(std::int64_t aDeclared, double aRatio)
 {
-  // Reports just above the declared size are noise of the measurement.
+  // Reports just above the declared size are measurement noise.
   constexpr double kNoise = 1.05;
   return aRatio <= kNoise
            ? aDeclared
--- a/oriolewalk/cell/learning.h
+++ b/oriolewalk/cell/learning.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// What jobs of a family really take, learnt from those that ran.
+// Estimates the resources and run time of a job family from earlier runs.
 //
 //   family_learning learning;
 //   learning.NoteRun("taksa/settlement", declaredMs, ranMs);
 //   learning.ExpectedMs(spec);
 //
-// The load it answers: declared sizes and run times are often far off. Used
-// for choices only; bookings are always as declared.
+// Declared sizes and run times are often far off. The estimates influence
+// placement choices only; bookings always use the declared sizes.
 
 #include <array>
 #include <cstddef>
@@ -20,19 +20,20 @@
 
 namespace oriolewalk::cell {
 
-// Owned by a scheduler; one thread. Memory: one small record a family, at
-// most kMostFamilies; later families are taken at their word.
+// Owned by a scheduler; one thread. Memory: one small record per family,
+// at most kMostFamilies; declared values are used for any further family.
 class family_learning
 {
 public:
   void NoteRun(const job_spec& aSpec, std::int64_t aRanMs);
   void NoteUsage(const job_spec& aSpec, const resources& aUsage);
 
-  // The upper quartile of the latest runs, once there are three; before that
-  // what is declared. For choices of reservation and backfilling.
+  // Returns the upper quartile of the latest runs, or the declared time if
+  // there are fewer than three. Used for reservations and backfilling.
   [[nodiscard]] std::int64_t ExpectedMs(const job_spec& aSpec) const;
-  // The room to look for: at least what is declared, and what the family was
-  // seen to use. The one who declares too little waits for a larger place.
+  // Returns the capacity to search for: the larger of the declared size and
+  // the family's observed use. A job that declares too little waits for a
+  // worker with more free capacity.
   [[nodiscard]] resources RoomFor(const job_spec& aSpec) const;
 
 private:
@@ -41,7 +42,7 @@
   {
     std::array<std::int64_t, kRuns> mRunMs{};
     std::size_t mCount = 0;
-    // Peak use as a multiple of the declared size, slowly forgotten.
+    // Peak use as a multiple of the declared size, with slow decay.
     double mProcessors = 1;
     double mMemory = 1;
   };
@@ -52,7 +53,8 @@
   std::unordered_map<std::string, family> mFamilies;
 };
 
-// "organisation/family": one organisation's lies don't touch another's.
+// Returns "organisation/family", so that an organisation's wrong declarations
+// don't affect another organisation.
 std::string
 FamilyKey(const job_spec& aSpec);
 
--- a/oriolewalk/cell/order.cc
+++ b/oriolewalk/cell/order.cc
@@ -1,10 +1,10 @@
-// Who is next: strict classes, and inside a class the organisation with the
-// smallest weighted dominant share.
+// The scheduling order: strict classes, and within a class the organisation
+// with the smallest weighted dominant share.
 //
-// The load it answers: one organisation submits ten thousand tasks at once.
-// First come, first served would make all others wait for them; here each
-// start raises the submitter's share, and the next start is another's. A
-// share is lent as long as nobody else waits.
+// If one organisation submits ten thousand tasks at once, first come, first
+// served would make all others wait. Here each start raises the submitter's
+// share, so another organisation is next. An organisation may exceed its share
+// while no other organisation waits.
 
 #include <algorithm>
 #include <array>
@@ -25,7 +25,7 @@
 namespace oriolewalk::cell {
 namespace {
 
-// Where one organisation's queue of a class stands in this Plan.
+// The position in one organisation's queue of a class in this Plan.
 struct queue_cursor
 {
   double mShare = 0;
@@ -41,7 +41,7 @@
   }
 };
 
-// The order of one class; made for one Plan.
+// Orders one class for one Plan.
 class class_queue
 {
 public:
@@ -56,7 +56,7 @@
     std::ranges::make_heap(mHeap, std::greater{});
   }
 
-  // Starts until room, budget or work is used up.
+  // Starts tasks until capacity, the budget or the queue is exhausted.
   void Run(std::uint32_t& aLooks)
   {
     const std::size_t most = mPlan.mSoft.mOptions.mMostStarts;
@@ -87,7 +87,7 @@
     return aCursor.mJob != Jobs(aCursor.mOrganisation).end();
   }
 
-  // False, if the organisation is done with in this Plan.
+  // Returns false if the organisation needs no further step in this Plan.
   bool Step(queue_cursor& aCursor)
   {
     const job_record& job = *mPlan.mState.FindJob(*aCursor.mJob);
@@ -105,7 +105,7 @@
         return NextJob(aCursor);
       case start_result::NoRoom:
         if (MakeRoom(mPlan, job)) {
-          return NextJob(aCursor); // It has its place; it passes nobody by.
+          return NextJob(aCursor); // It has a reservation and overtakes no job.
         }
         return ++aCursor.mSkipped <= mPlan.mSoft.mOptions.mBackfillDepth &&
                NextJob(aCursor);
@@ -120,7 +120,7 @@
   std::vector<queue_cursor> mHeap;
 };
 
-// The oldest of one class's queues that is beyond its bound.
+// Returns the oldest job of one class that is beyond its wait bound.
 const job_record*
 OldestAged(const plan_context& aPlan, job_class aClass)
 {
--- a/oriolewalk/cell/packing.cc
+++ b/oriolewalk/cell/packing.cc
@@ -37,9 +37,8 @@
       const resources& aFree,
       const resources& aCapacity)
 {
-  // Tried on the fills and loads of `oriole-bench cell`, see docs/CELL.md:
-  // a step away from balance must outweigh emptiness, and an idle accelerator
-  // under a task that has no use for it a good part of both.
+  // See docs/CELL.md. Imbalance must outweigh emptiness, and an accelerator
+  // left idle by a task that doesn't use it must outweigh much of both.
   constexpr double kImbalance = 2.0;
   constexpr double kIdleAccelerator = 4.0;
   const resources left = aFree - aRequest;
--- a/oriolewalk/cell/packing.h
+++ b/oriolewalk/cell/packing.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Which of the workers with room gets a task.
+// Chooses among the workers that fit a task.
 //
 //   packing_policy policy = shaped_fit{};
 //   double score = Score(policy, request, free, capacity); // lowest wins
@@ -11,26 +11,27 @@
 
 namespace oriolewalk::cell {
 
-// The lowest slot with room.
+// Takes the lowest slot that fits.
 struct first_fit
 {};
-// The least left over, summed over the dimensions as shares of the worker.
+// Minimises the remainder, summed over the dimensions as shares of the worker.
 struct best_fit
 {};
-// Any, drawn evenly.
+// Draws uniformly from all workers that fit.
 struct random_fit
 {};
-// Answers unlike shapes: keeps what is left on a worker in the proportion of
-// its capacity, so that the last processors aren't stranded behind used-up
-// memory, and keeps accelerators for those that ask for them. Without it a
-// memory-heavy night batch leaves processors that nothing can use.
+// Packs tasks of different shapes: keeps the free resources of a worker in the
+// proportion of its capacity, so that processors aren't stranded on workers
+// without free memory, and keeps accelerators for tasks that request them.
+// Without it a memory-heavy night batch leaves processors that no task can
+// use.
 struct shaped_fit
 {};
 
 using packing_policy =
   std::variant<first_fit, best_fit, random_fit, shaped_fit>;
 
-// Lower is better. Pure; cost: constant.
+// Returns the score; lower is better. Pure function; cost: constant.
 double
 Score(const shaped_fit& aPolicy,
       const resources& aRequest,
--- a/oriolewalk/cell/placing.cc
+++ b/oriolewalk/cell/placing.cc
@@ -1,4 +1,4 @@
-// Where a task goes.
+// Chooses the worker for a task.
 
 #include <algorithm>
 #include <cstddef>
@@ -27,11 +27,12 @@
 namespace oriolewalk::cell {
 namespace {
 
-// A family that uses more than it declares looks for that much room; after
-// this wait it takes what it declared, so that it waits but does not starve.
+// A family that uses more than it declares searches for capacity for its
+// observed use. After this wait the declared size suffices, which prevents
+// starvation.
 constexpr std::int64_t kPaddedWaitMs = 30'000;
 
-// What the smaller task may have for itself beside what is held.
+// Returns whether a smaller task may run beside the reserved capacity.
 bool
 FitsBesideHeld(const plan_context& aPlan,
                const resources& aSize,
@@ -53,7 +54,7 @@
   return needed.FitsIn(free);
 }
 
-// One search for one task.
+// One search for a worker for one task.
 class worker_choice
 {
 public:
@@ -81,7 +82,7 @@
                       WaitedMs(mPlan, mJob) < kPaddedWaitMs;
     auto found = FindFor(pads ? padded : mJob.mSpec.mEach);
     if (!found && mFailedOn != nullptr && mRejectedForTask) {
-      // It failed wherever there is room; then anywhere is as good.
+      // It failed on every worker that fits, so all are equally good.
       mFailedOn = nullptr;
       found = FindFor(mJob.mSpec.mEach);
     }
@@ -148,15 +149,15 @@
     return false;
   }
 
-  // Who overran a held place once isn't taken at its word again: it would be
-  // started and ended there for ever.
+  // A task that overran a reservation once may not backfill again; it would be
+  // started and ended there repeatedly.
   [[nodiscard]] bool MayBackfill() const
   {
     return IsEvictable(mJob.mSpec) && mExpectedMs > 0 &&
            mJob.mLatestMove != stop_reason::Overrun;
   }
 
-  // A suspect is tried with one task at a time, of the kind that may fail.
+  // A suspect worker is probed with one repeatable task at a time.
   [[nodiscard]] bool AcceptsProbe(worker_slot aSlot) const
   {
     return mSoft.mHealth.Standing(aSlot, mPlan.mNow.mNow) ==
@@ -166,9 +167,9 @@
             mSoft.mWorkers[aSlot].mInFlight == resources{});
   }
 
-  // Replicas: the data centre with the fewest, in it the rack with the
-  // fewest, there the worker with the fewest, then the best fit. Losing any
-  // one of them then takes the smallest share of the service.
+  // Spreads replicas: chooses the data centre with the fewest, in it the rack
+  // with the fewest, there the worker with the fewest, then the best fit. The
+  // loss of any of them then affects the smallest share of the service.
   std::optional<worker_slot> FindSpread(const resources& aSize)
   {
     CountReplicas();
@@ -280,8 +281,8 @@
   }
 }
 
-// All or none: a gang that held some of its places while it waits for the
-// others could wait for a second gang that does the same, for ever.
+// Starts all tasks or none. Two gangs that each held some places while waiting
+// for the others could deadlock.
 start_result
 TryStartGang(plan_context& aPlan, const job_record& aJob)
 {
@@ -294,7 +295,7 @@
     const auto slot = worker_choice(aPlan, aJob, at).Find();
     if (!slot) {
       TakeBack(aPlan, before);
-      aPlan.mSoft.mNoRoom = known; // What was learnt held for the trial only.
+      aPlan.mSoft.mNoRoom = known; // Valid for the trial only.
       return start_result::NoRoom;
     }
     ProposeStart(aPlan, aJob, at, *slot);
--- a/oriolewalk/cell/plan.cc
+++ b/oriolewalk/cell/plan.cc
@@ -1,4 +1,4 @@
-// One Plan, and what is due by time.
+// Plan, and its periodic housekeeping.
 
 #include <algorithm>
 #include <cstdint>
@@ -17,9 +17,9 @@
 namespace oriolewalk::cell {
 namespace {
 
-// Every worker whose lease has surely lapsed, in one command: a rack or data
-// centre that goes quiet is one event, and what it held is placed again in
-// one order instead of in that of the timers.
+// Declares all workers whose lease has certainly expired lost in one command.
+// The loss of a rack or data centre is then one event, and its tasks are
+// rescheduled in scheduling order rather than in the order of the timers.
 void
 PlanLosses(plan_context& aPlan)
 {
@@ -64,7 +64,7 @@
   soft.mNextHousekeeping = aPlan.mNow.mNow + soft.mOptions.mHousekeeping;
   PlanLosses(aPlan);
   if (soft.mHealth.HasSuspects()) {
-    soft.RefreshAll(aPlan.mState, aPlan.mNow.mNow); // Some may be due a probe.
+    soft.RefreshAll(aPlan.mState, aPlan.mNow.mNow); // A probe may be due.
   }
   KeepReservations(aPlan);
   KeepThrottles(aPlan);
--- a/oriolewalk/cell/policy.h
+++ b/oriolewalk/cell/policy.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What operators set for the cell, and the scheduler's options.
+// The operators' settings for the cell, and the scheduler's options.
 
 #include <cstdint>
 #include <map>
@@ -14,61 +14,65 @@
 namespace oriolewalk::cell {
 
 // The instant at which a decision is made: steady time for leases, wall time
-// for what is compared with committed times.
+// for comparisons with committed times.
 struct instant
 {
   time_point mNow;
   std::int64_t mWallMs = 0;
 };
 
-// From the weights table. mVersion tells the scheduler when to read it again.
+// Read from the weights table. The scheduler reads it again when mVersion
+// changes.
 struct cell_policy
 {
   std::uint64_t mVersion = 0;
-  // The paid place; an organisation that isn't listed has 1.
+  // The weight that an organisation pays for; 1 if it isn't listed.
   std::map<organisation_id, double> mWeights;
   quota_map mQuotas;
 };
 
 struct scheduler_options
 {
-  // From docs/PROTOCOLS.md; counted by the worker from when it sent the poll.
+  // Defined in docs/PROTOCOLS.md. The worker counts it from the time at which
+  // it sent the poll.
   milliseconds mLease{ 8000 };
-  // How much slower a worker's clock may run over one lease, with the time for
-  // it to stop what it runs: 5 percent.
+  // Bounds how much slower a worker's clock may run over one lease, including
+  // the time that the worker needs to stop its tasks: 5 percent.
   milliseconds mDriftBound{ 400 };
-  // No new work for a worker that was silent for three polls.
+  // A worker that missed three polls gets no new work.
   milliseconds mQuiet{ 3000 };
-  // How often silence, drains and overruns are looked for.
+  // Interval of the checks for silent workers, drains and overruns.
   milliseconds mHousekeeping{ 200 };
-  // A Plan's most starts and most jobs looked at: bounds one decision.
+  // Max starts and max examined jobs per Plan; bounds the cost of one Plan.
   std::uint32_t mMostStarts = 128;
   std::uint32_t mMostLooks = 4096;
-  // Jobs of one organisation and class that are tried behind one that waits
-  // for room.
+  // Max jobs of one organisation and class that are tried behind a job that
+  // waits for capacity.
   std::uint32_t mBackfillDepth = 16;
-  // Waiting longer than this, a normal or heavy job goes ahead of all younger
-  // work, one of each class every mHousekeeping: urgent work hardly feels it,
-  // and nothing starves under a flood of it.
+  // A normal or heavy job that has waited longer than this goes ahead of all
+  // younger work, one job of each class every mHousekeeping. This prevents
+  // starvation under a flood of urgent work and hardly delays urgent work.
   milliseconds mNormalBound{ 10 * 60 * 1000 };
   milliseconds mHeavyBound{ 60 * 60 * 1000 };
-  // Places held for work that doesn't fit yet.
+  // Max reservations for work that doesn't fit yet.
   std::uint32_t mMostReservations = 8192;
-  std::uint32_t mMostQuietReservations = 8; // For other than urgent work.
-  // Preempted work that hasn't ended by then is asked for more: half of what
-  // remains of 4.2 s after two polls.
+  std::uint32_t mMostQuietReservations = 8; // For work that isn't urgent.
+  // Preemption of work that hasn't ended by then escalates to a stronger stop
+  // mode. The value is half of what remains of 4.2 s after two polls.
   milliseconds mEscalateAfter{ 1200 };
   // A normal job may preempt heavy ones after this wait.
   milliseconds mNormalPatience{ 30'000 };
-  // A search for victims or a place to hold that found none is made again
-  // after this; and the searches of a Plan look at this many workers at most,
-  // each counted as at least eight. Bounds what a full cell costs.
+  // A failed search for preemption victims or for a reservation is repeated
+  // after this delay. The searches of one Plan examine at most mMostPlanScans
+  // workers, and each search counts as at least eight. Both bound the cost of
+  // a Plan on a full cell.
   milliseconds mSeekAgain{ 500 };
   std::uint32_t mMostPlanScans = 1024;
-  // Most workers that a search for victims or for a reservation looks at.
+  // Max workers that one search for victims or for a reservation examines.
   std::uint32_t mMostScanned = 128;
-  // Restarts of work that lost its worker, a second: a lost data centre must
-  // not hold up new urgent work nor start everything on the same few workers.
+  // Max restarts per second of tasks that lost their worker. The loss of a
+  // data centre must neither delay new urgent work nor start all its tasks on
+  // the same few workers.
   std::uint32_t mRecoveryPerSecond = 400;
   std::uint32_t mRecoveryBurst = 100;
   packing_policy mPacking = shaped_fit{};
--- a/oriolewalk/cell/poll.cc
+++ b/oriolewalk/cell/poll.cc
@@ -1,4 +1,5 @@
-// A worker's poll: the lease, what it is told, what its report changes.
+// Handles a worker's poll: grants the lease, sends commands and processes the
+// worker's report.
 
 #include <algorithm>
 #include <cstdint>
@@ -21,8 +22,8 @@
 namespace oriolewalk::cell {
 namespace {
 
-// Answers one poll. What it commands is read off the committed state each
-// time, so that a lost answer or a new leader loses no command.
+// Builds the reply to one poll. Commands are derived from the committed state
+// each time, so no command is lost with a reply or with a change of leader.
 class poll_answer
 {
 public:
@@ -82,7 +83,7 @@
   void TakeEnd(const reported_end& aEnd)
   {
     if (Placed(aEnd.mTask, aEnd.mAttempt) == nullptr) {
-      // Recorded, or overtaken by a loss: nothing waits for it any more.
+      // The end is recorded or superseded by a loss, so the worker may drop it.
       Command(worker_command_kind::Forget, aEnd.mTask, aEnd.mAttempt);
       return;
     }
@@ -116,7 +117,8 @@
     }
   }
 
-  // Use above the booking is offered to nobody; use below it changes nothing.
+  // Use above the booking is withheld from other tasks; use below it has no
+  // effect.
   void NoteUsage(const running_task& aRunning, const task_record& aTask)
   {
     const job_spec& spec = mState.FindJob(aRunning.mTask.mJob)->mSpec;
@@ -143,13 +145,13 @@
     }
   }
 
-  // The worker shows nothing of a task that is placed on it.
+  // Handles a task that is placed on the worker but missing from its report.
   void StartOrStop(const task_id& aTask, const task_record& aRecord)
   {
     if (aRecord.mStop == stop_mode::Stop ||
         aRecord.mStop == stop_mode::Checkpoint) {
-      // The start may have been lost or be late: the worker answers a stop
-      // for what it doesn't know with `stopped`, and will never start it.
+      // The start may have been lost or delayed. The worker replies `stopped`
+      // to a stop for an unknown task, and never starts that task.
       Command(worker_command_kind::Stop, aTask, aRecord.mAttempt);
       return;
     }
--- a/oriolewalk/cell/reservations.h
+++ b/oriolewalk/cell/reservations.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Places that are held for work that doesn't fit yet, so that smaller work
-// that comes later cannot pass it by for ever.
+// Reserves capacity for jobs that don't fit yet, so that later, smaller jobs
+// can't starve them.
 //
 //   book.Add({ job, spec.mEach, { { slot, 1 } }, startMs, ... });
 //   book.HeldOn(slot, exceptJob);
@@ -24,21 +24,23 @@
 {
   job_number mJob;
   organisation_slot mOrganisation = 0;
-  job_class mClass = job_class::Normal; // Urgent also for aged work.
+  job_class mClass =
+    job_class::Normal; // Also urgent for jobs beyond their wait bound.
   resources mEach;
   std::map<worker_slot, std::uint32_t> mPlaces;
-  // When the room is expected (wall clock); others may run there until then.
+  // When the capacity is expected to be free (wall clock); other tasks may run
+  // there until then.
   std::int64_t mStartMs = 0;
-  std::int64_t mExpectedMs = 0; // How long it will run from then.
-  bool mPreempts = false;       // The room is being made by ending other work.
+  std::int64_t mExpectedMs = 0; // Expected run time.
+  bool mPreempts = false;       // Running tasks are being preempted.
   time_point mMade;
 };
 
-// What others hold on a worker.
+// Capacity of a worker that is reserved for other jobs.
 struct held_room
 {
   resources mAmount;
-  std::int64_t mFromMs = 0; // The earliest start of them.
+  std::int64_t mFromMs = 0; // The earliest start.
   job_class mClass = job_class::Heavy;
 };
 
@@ -48,7 +50,7 @@
 public:
   void Add(reservation aReservation);
   void Remove(job_number aJob);
-  // One of the job's places on the worker was used.
+  // Consumes one of the job's places on the worker.
   void Use(job_number aJob, worker_slot aSlot);
 
   [[nodiscard]] const reservation* Find(job_number aJob) const;
@@ -56,14 +58,14 @@
   {
     return mByJob;
   }
-  // Reservations that preempt, or that only wait.
+  // Counts the reservations that preempt, or those that only wait.
   [[nodiscard]] std::size_t Count(bool aPreempts) const
   {
     return aPreempts ? mPreempting : mByJob.size() - mPreempting;
   }
-  // The organisation holds a place that only waits.
+  // Returns true if the organisation has a reservation that only waits.
   [[nodiscard]] bool Waits(organisation_slot aOrganisation) const;
-  // The jobs that hold places on the worker.
+  // Returns the jobs with reservations on the worker.
   [[nodiscard]] std::vector<job_number> HoldersOn(worker_slot aSlot) const
   {
     const auto found = mOn.find(aSlot);
@@ -73,7 +75,7 @@
   {
     return mOn.contains(aSlot);
   }
-  // None, if nobody but aJob holds anything there.
+  // Returns nullopt if no job other than aJob has a reservation there.
   [[nodiscard]] std::optional<held_room> HeldOn(worker_slot aSlot,
                                                 job_number aJob) const;
 
--- a/oriolewalk/cell/room.cc
+++ b/oriolewalk/cell/room.cc
@@ -1,4 +1,4 @@
-// Room for a job that found none: preemption and reservation.
+// Preemption and reservation for jobs that don't fit.
 
 #include <algorithm>
 #include <cstddef>
@@ -23,13 +23,13 @@
 namespace {
 
 constexpr std::int64_t kNever = std::numeric_limits<std::int64_t>::max();
-// Places that one job gets made in one Plan; the next Plan goes on.
+// Max places freed for one job in one Plan; the next Plan continues.
 constexpr std::uint32_t kMostPlaces = 16;
-// Work that was moved this often on average is left alone, so that it does
-// not go back and forth; a checkpoint loses less, and may come more often.
+// Work that was moved this often on average isn't preempted, so that it doesn't
+// move back and forth. A checkpoint loses less and may happen more often.
 constexpr std::uint32_t kMostStops = 2;
 constexpr std::uint32_t kMostCheckpoints = 8;
-// One way of ending is always dearer than any loss under the one before.
+// A stronger stop mode always costs more than any loss under a weaker one.
 constexpr double kStepCost = 1e15;
 
 struct victim
@@ -40,7 +40,7 @@
   double mCost = 0;
 };
 
-// One worker's answer: whom to end there, and what it costs.
+// The tasks to end on one worker, and the cost of ending them.
 struct eviction
 {
   worker_slot mWorker = kNoWorker;
@@ -48,9 +48,9 @@
   double mCost = 0;
 };
 
-// Finds the cheapest room for the tasks of one job. The load it answers: an
-// urgent request for a cell that a night batch has filled. Without it the
-// request waits for the batch's next natural end.
+// Finds the cheapest preemption for the tasks of one job. Without it an urgent
+// request to a cell that a night batch has filled would wait until a batch
+// task ends by itself.
 class room_search
 {
 public:
@@ -66,14 +66,14 @@
     mThrottles = true;
     auto best = Scan();
     if (!best) {
-      mThrottles = false; // Processors alone aren't what is short.
+      mThrottles = false; // Throttling frees processors only.
       best = Scan();
     }
     mPlan.mSoft.mScanFrom += mPlan.mSoft.mOptions.mMostScanned;
     return best;
   }
 
-  // The place is taken: later searches of this job see it so.
+  // Marks the place as taken for later searches of this job.
   void Take(const eviction& aRoom)
   {
     resources& taken = mTaken[aRoom.mWorker];
@@ -100,7 +100,7 @@
         best = std::move(found);
       }
       if (best && best->mCost < kStepCost && best->mVictims.size() <= 1) {
-        break; // Nothing is lost but one checkpoint: good enough.
+        break; // Costs only one checkpoint: good enough.
       }
     }
     return best;
@@ -127,7 +127,7 @@
     return Choose(aSlot, room, std::move(candidates));
   }
 
-  // Adds the task to the candidates, or gives what it is about to free.
+  // Adds the task to the candidates, or returns what it is about to free.
   resources Consider(const task_id& aTask,
                      std::vector<victim>& aCandidates) const
   {
@@ -155,7 +155,7 @@
       static_cast<double>(mPlan.mNow.mWallMs - aRecord.mPlacedMs);
     const double loss = std::max(1.0, ran) *
                         DominantShare(spec.mEach, mPlan.mState.TotalCapacity());
-    // Heavy work goes before normal work.
+    // Heavy work is preempted before normal work.
     const double classCost =
       spec.mClass == job_class::Heavy ? 0 : kStepCost / 2;
     const resources whole = Booking(spec, aRecord);
@@ -178,8 +178,8 @@
     return std::nullopt;
   }
 
-  // The cheapest first, until it fits; then those that weren't needed after
-  // all are let off, the dearest first.
+  // Takes the cheapest candidates until the request fits, then drops the
+  // unnecessary ones, the most expensive first.
   [[nodiscard]] std::optional<eviction> Choose(
     worker_slot aSlot,
     resources aRoom,
@@ -213,7 +213,7 @@
 
   plan_context& mPlan;
   const job_record& mJob;
-  // A throttle frees processors only, and is asked for before any stop.
+  // A throttle frees processors only, and is tried before any stop.
   bool mThrottles = true;
   std::map<worker_slot, resources> mTaken;
   std::set<task_id> mVictims;
@@ -274,7 +274,7 @@
   }
   const std::int64_t expected =
     aTask.mPlacedMs + aPlan.mSoft.mLearning.ExpectedMs(aJob.mSpec);
-  // What overran its time is taken to be half done.
+  // A task that overran its expected time is assumed to be half done.
   return expected > now ? expected : now + (now - aTask.mPlacedMs);
 }
 
@@ -315,7 +315,7 @@
   }
   const bool whole = rooms.size() == aNeeded;
   if (rooms.empty() || (aJob.mSpec.mKind == job_kind::Gang && !whole)) {
-    return false; // It wouldn't help: nobody is ended.
+    return false; // Preemption wouldn't help, so no task is ended.
   }
   reservation held;
   held.mJob = aJob.mNumber;
@@ -338,9 +338,9 @@
 
 namespace {
 
-using place = std::pair<std::int64_t, worker_slot>; // When there is room.
+using place = std::pair<std::int64_t, worker_slot>; // When it is free.
 
-// When each of the next aNeeded tasks finds room on one worker.
+// Finds when each of the next aNeeded tasks fits on one worker.
 void
 AddPlaces(const plan_context& aPlan,
           const job_record& aJob,
@@ -357,9 +357,9 @@
                       Booking(job.mSpec, task));
   }
   resources room = aPlan.mSoft.Free(aPlan.mState, aSlot);
-  // Those that hold places there run before; what they hold is free again
-  // when they end. Were held workers left out, small jobs' places would keep
-  // a gang from ever getting whole workers.
+  // Jobs with reservations there run first; their capacity is free again when
+  // they end. If workers with reservations were left out, those of small jobs
+  // would keep a gang from ever getting whole workers.
   for (const job_number holder : aPlan.mSoft.mBook.HoldersOn(aSlot)) {
     const reservation& held = *aPlan.mSoft.mBook.Find(holder);
     const resources amount = held.mEach * held.mPlaces.at(aSlot);
@@ -450,8 +450,8 @@
       TryPreempt(aPlan, aJob, TasksToStart(aPlan, aJob))) {
     return true;
   }
-  // One an organisation: small jobs of a busy one would use up all of them,
-  // and hold places that are free in a moment anyway.
+  // One per organisation: small jobs of a busy organisation would use up all
+  // reservations for capacity that is free in a moment anyway.
   const bool mayHold =
     soft.mBook.Count(false) < soft.mOptions.mMostQuietReservations &&
     !soft.mBook.Waits(aJob.mOrganisation);
--- a/oriolewalk/cell/scheduler.cc
+++ b/oriolewalk/cell/scheduler.cc
@@ -1,4 +1,4 @@
-// Leadership and what became of proposals.
+// Leadership changes and the outcomes of proposals.
 
 #include "oriolewalk/cell/scheduler.h"
 
@@ -40,7 +40,7 @@
   return proposal_kind::Stop;
 }
 
-// The command isn't in flight any more, applied or not.
+// Clears a command that is no longer in flight, whether applied or dropped.
 void
 ClearProposal(soft_state& aSoft,
               const cell_state& aState,
@@ -68,8 +68,8 @@
         clear(proposal_kind::Ended, aCase.mTask);
       },
       [&](const workers_lost& aCase) {
-        for (const worker_life& life : aCase.mLives) {
-          if (const auto slot = aState.FindSlot(life.mWorker)) {
+        for (const worker_life& incarnation : aCase.mLives) {
+          if (const auto slot = aState.FindSlot(incarnation.mWorker)) {
             aSoft.mWorkers[*slot].mLossProposed = false;
           }
         }
@@ -81,22 +81,23 @@
 }
 
 void
-HearAnnouncement(soft_state& aSoft,
-                 const cell_state& aState,
-                 const worker_id& aWorker,
-                 const instant& aNow)
+OnAnnouncement(soft_state& aSoft,
+               const cell_state& aState,
+               const worker_id& aWorker,
+               const instant& aNow)
 {
   const auto slot = aState.FindSlot(aWorker);
   if (!slot) {
     return;
   }
   aSoft.Refresh(aState, *slot, aNow.mNow);
-  // Its lease runs from when it sent the announcement, which was earlier.
+  // Conservative: the lease started earlier, when the worker sent its
+  // announcement.
   aSoft.mWorkers[*slot].mHeard = aNow.mNow;
   aSoft.mWorkers[*slot].mSeen = true;
-  // A proposed loss stays proposed: were this life's announcement applied
-  // first and leases given again, the loss would end, on paper, tasks that
-  // run under them. Polls get no lease until it is resolved.
+  // A proposed loss stays proposed. If leases were granted again after this
+  // incarnation's announcement, the loss would then record tasks as ended that
+  // still run under these leases. Polls get no lease until it is resolved.
 }
 
 std::string
@@ -106,7 +107,7 @@
                                     : FamilyKey(aJob.mSpec);
 }
 
-// What the ends of attempts say of families and workers.
+// Updates family estimates and worker health from ended attempts.
 void
 Learn(soft_state& aSoft,
       const cell_state& aState,
@@ -136,7 +137,7 @@
   }
 }
 
-// Throttles that an earlier leader asked for.
+// Finds the throttles that an earlier leader requested.
 void
 FindThrottled(soft_state& aSoft, const cell_state& aState)
 {
@@ -204,7 +205,7 @@
   }
   if (const auto* announced = std::get_if<register_worker>(&aCommand);
       announced != nullptr && !aOutcome.mRefusal) {
-    HearAnnouncement(soft, aState, announced->mWorker, aNow);
+    OnAnnouncement(soft, aState, announced->mWorker, aNow);
   }
   ClearProposal(soft, aState, aCommand, aNow);
   for (const worker_slot slot : aOutcome.mWorkers) {
--- a/oriolewalk/cell/scheduler.h
+++ b/oriolewalk/cell/scheduler.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// The leader's decisions about a cell: who starts where, who is preempted,
-// which workers are lost. It looks at a cell_state and proposes commands; the
-// shell takes them to the replicated log and reports what became of them.
+// Makes the leader's decisions about a cell: which task starts on which
+// worker, which task is preempted and which workers are lost. It reads a
+// cell_state and proposes commands. The caller appends them to the replicated
+// log and reports their outcomes.
 //
 //   cell_scheduler scheduler(scheduler_options{}, seed);
 //   scheduler.BecomeLeader(state, now);
@@ -13,11 +14,11 @@
 //   // when a worker polls:
 //   auto reply = scheduler.Poll(state, worker, poll, now);
 //
-// The shell calls Plan after a command was applied and every 100 ms.
-// OnDropped is for a command that surely won't be applied while this node
-// goes on leading; after a change of leader, call BecomeLeader instead, once
-// every earlier entry of the log has been applied. All of the scheduler's own
-// state may be lost at any moment: the rules are kept by cell_state::Apply.
+// The caller runs Plan after each applied command and every 100 ms. OnDropped
+// reports a command that cannot be applied as long as this node remains the
+// leader. After a change of leader, call BecomeLeader instead, once every
+// earlier entry of the log has been applied. The scheduler's own state may be
+// lost at any time, because cell_state::Apply enforces the invariants.
 
 #include <cstdint>
 #include <memory>
@@ -34,7 +35,7 @@
 
 namespace oriolewalk::cell {
 
-// Workers that have the same to say about a job.
+// Workers that can't run a job for the same reason.
 struct worker_group
 {
   std::string mReason;
@@ -46,8 +47,8 @@
 {
   job_number mJob;
   job_state mState = job_state::Waiting;
-  std::string mReason;                // Why it stands where it stands.
-  std::vector<worker_group> mWorkers; // For a waiting job; most first.
+  std::string mReason;                // Why the job is in this state.
+  std::vector<worker_group> mWorkers; // For a waiting job; largest first.
 };
 
 struct soft_state;
@@ -63,28 +64,28 @@
   cell_scheduler(cell_scheduler&&) noexcept;
   cell_scheduler& operator=(cell_scheduler&&) noexcept;
 
-  // Forgets all soft state. No worker is declared lost before one lease and
-  // the drift bound have passed: an earlier leader may have renewed it up to
-  // now. Cost: linear in workers.
+  // Discards all soft state. No worker is declared lost before one lease and
+  // the drift bound have passed, because an earlier leader may have renewed
+  // the worker's lease until now. Cost: linear in workers.
   void BecomeLeader(const cell_state& aState, const instant& aNow);
-  // Plans and leases nothing until BecomeLeader.
+  // Stops planning and granting leases until BecomeLeader is called.
   void StepDown();
   [[nodiscard]] bool IsLeading() const;
 
   // aNow: when the poll was received. The reply may be sent only while this
-  // node surely leads. Cost: O(log n) per task on the worker.
+  // node is known to be the leader. Cost: O(log n) per task on the worker.
   worker_reply Poll(const cell_state& aState,
                     const worker_id& aWorker,
                     const worker_poll& aPoll,
                     const instant& aNow);
 
-  // What to propose next; proposes nothing twice that is in flight. Cost:
-  // bounded by scheduler_options::mMostStarts and mMostLooks.
+  // Returns the commands to propose next, without those that are already in
+  // flight. Cost: bounded by scheduler_options::mMostStarts and mMostLooks.
   std::vector<cell_command> Plan(const cell_state& aState,
                                  const cell_policy& aPolicy,
                                  const instant& aNow);
 
-  // For every command that was applied, whoever proposed it.
+  // Must be called for every applied command, whichever node proposed it.
   void OnApplied(const cell_state& aState,
                  const cell_command& aCommand,
                  const apply_outcome& aOutcome,
@@ -93,7 +94,8 @@
                  const cell_command& aCommand,
                  const instant& aNow);
 
-  // Why the job waits, was refused or was moved. Cost: linear in workers.
+  // Explains why the job waits, was refused or was moved. Cost: linear in
+  // workers.
   [[nodiscard]] explanation Explain(const cell_state& aState,
                                     job_number aJob,
                                     const instant& aNow) const;
--- a/oriolewalk/cell/soft_state.cc
+++ b/oriolewalk/cell/soft_state.cc
@@ -13,7 +13,7 @@
 namespace oriolewalk::cell {
 namespace {
 
-// Sizes remembered as too large; the common ones of a cell are fewer.
+// Bounds the remembered requests; a cell has fewer common sizes.
 constexpr std::size_t kMostNoRoom = 32;
 constexpr double kLeastWeight = 1e-6;
 
--- a/oriolewalk/cell/soft_state.h
+++ b/oriolewalk/cell/soft_state.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// What only the leading scheduler knows; lost with it and learnt again. The
-// stages of the scheduler (poll, order, placing, ...) share it; nobody else
-// includes this header.
+// The leader's volatile state, which is lost with the leader and rebuilt by the
+// next one. The stages of the scheduler (poll, order, placing, ...) share it;
+// no other code includes this header.
 
 #include <cstdint>
 #include <map>
@@ -28,7 +28,7 @@
 
 namespace oriolewalk::cell {
 
-// A start that was proposed and isn't in the state yet.
+// A start that was proposed and isn't committed yet.
 struct start_in_flight
 {
   worker_slot mWorker = kNoWorker;
@@ -36,7 +36,7 @@
   resources mSize;
 };
 
-// Other proposals in flight, so that they aren't made twice.
+// Other proposals in flight; recorded so that none is made twice.
 enum class proposal_kind : std::uint8_t
 {
   Ended,
@@ -52,21 +52,21 @@
 // By worker slot.
 struct worker_view
 {
-  worker_id mId; // The worker that the view is about: slots are used again.
+  worker_id mId; // The worker in this slot; slots are reused.
   resources mInFlight;
-  // Use above what is booked, by the latest report: offered to nobody.
+  // Reported use above the booking; not available to other tasks.
   resources mHidden;
-  time_point mHeard; // When the latest poll came in.
+  time_point mHeard; // When the latest poll arrived.
   data_centre_id mDataCentre;
   rack_id mRack;
   bool mSeen = false; // Heard since this leadership began.
-  // Its loss is proposed: a lease given now would outlive the decision.
+  // The loss is proposed; a lease granted now would outlive the decision.
   bool mLossProposed = false;
 };
 
-// A request that found no worker since room last grew. Where places were held
-// for others, it speaks only for requests that are no shorter, no easier to
-// evict and no more urgent.
+// A request that has not fitted any worker since free capacity last grew. If
+// reservations of other jobs caused this, it covers only requests that are no
+// shorter, no easier to evict and no more urgent.
 struct no_room
 {
   resources mSize;
@@ -106,7 +106,7 @@
   bool mQuotasProposed = false;
   std::vector<resources> mOrganisationInFlight; // By organisation slot.
 
-  // Anything that one of them covers needs no search. Bounds the cost of a
+  // A request covered by one of these needs no search. Bounds the cost of a
   // Plan on a full cell.
   std::vector<no_room> mNoRoom;
 
@@ -114,12 +114,13 @@
   worker_health mHealth;
   reservation_book mBook;
   rack_map mRacks;
-  // Started on a held place for the time until it is needed.
+  // Tasks that run on reserved capacity until the reservation needs it.
   std::unordered_set<task_id> mBackfilled;
   std::set<task_id> mThrottled;
-  // Where a task's earlier attempts failed: it goes elsewhere first.
+  // Workers on which a task's earlier attempts failed; others are tried first.
   std::unordered_map<task_id, std::vector<worker_slot>> mFailedOn;
-  // When room was sought for a job in vain; it isn't sought again at once.
+  // When the latest search for victims or a reservation failed; see
+  // mSeekAgain.
   std::unordered_map<job_number, time_point> mSought;
   worker_slot mScanFrom = 0; // Where the next search for victims begins.
   double mRecoveryTokens = 0;
@@ -130,7 +131,7 @@
   bool mPolicyRead = false;
   std::vector<double> mWeights; // By organisation slot.
 
-  // Brings the index up to date with the state and what is in flight.
+  // Updates the index from the state and the starts in flight.
   void Refresh(const cell_state& aState, worker_slot aSlot, time_point aNow);
   void RefreshAll(const cell_state& aState, time_point aNow);
   [[nodiscard]] bool MayTakeWork(const cell_state& aState,
@@ -144,7 +145,7 @@
   }
 
   void ReadPolicy(const cell_state& aState, const cell_policy& aPolicy);
-  // The organisation's weighted dominant share, with what is in flight.
+  // The organisation's weighted dominant share, including starts in flight.
   [[nodiscard]] double ShareOf(const cell_state& aState,
                                organisation_slot aOrganisation) const;
   [[nodiscard]] bool QuotaAllows(const cell_state& aState,
@@ -158,10 +159,10 @@
     mBook.Remove(aJob);
     mNoRoom.clear();
   }
-  // True, if a restart may be made now; takes a token.
+  // Takes a token; returns false if no restart is allowed now.
   bool TakeRecoveryToken(time_point aNow);
 
-  // Books a start until it is applied or dropped.
+  // Counts a start as booked until it is applied or dropped.
   void AddStart(const cell_state& aState,
                 const task_id& aTask,
                 const start_in_flight& aStart,
@@ -169,7 +170,7 @@
   void ClearStart(const cell_state& aState,
                   const task_id& aTask,
                   time_point aNow);
-  // True, if it wasn't in flight yet.
+  // Returns true if the proposal wasn't in flight yet.
   bool Propose(proposal_kind aKind, const task_id& aTask)
   {
     return mProposed.emplace(aKind, aTask).second;
--- a/oriolewalk/cell/stages.h
+++ b/oriolewalk/cell/stages.h
@@ -16,7 +16,7 @@
 
 namespace oriolewalk::cell {
 
-// What the stages of one Plan share.
+// State that the stages of one Plan share.
 struct plan_context
 {
   soft_state& mSoft;
@@ -24,11 +24,11 @@
   const instant& mNow;
   start_tasks mStarts;                 // Becomes one command.
   std::vector<cell_command> mCommands; // All others.
-  std::size_t mScanned = 0;            // For room; see mMostPlanScans.
+  std::size_t mScanned = 0;            // Workers examined; see mMostPlanScans.
 };
 
-// What is due by time, every mHousekeeping: lost workers, drains, overruns,
-// reservations that lapse, throttles that are taken back. False: not yet due.
+// Runs the periodic work every mHousekeeping: lost workers, drains, overruns,
+// expired reservations and throttles to lift. Returns false if it isn't due.
 bool
 PlanHousekeeping(plan_context& aPlan, const cell_policy& aPolicy);
 void
@@ -38,11 +38,11 @@
 void
 KeepDrains(plan_context& aPlan);
 
-// The longest waiting job beyond its class's bound goes first.
+// Starts the longest waiting job of those beyond their class's wait bound.
 void
 PlanAged(plan_context& aPlan);
 
-// Takes waiting work in its order and starts what has room.
+// Takes waiting jobs in scheduling order and starts those that fit.
 void
 PlanStarts(plan_context& aPlan);
 
@@ -51,21 +51,22 @@
   Started,
   NoRoom,
   NoQuota,
-  Paced, // A restart that must wait for its token.
+  Paced, // A restart that must wait for a recovery token.
 };
 
-// Starts one task, or all of a gang, on the best workers.
+// Starts one task, or all tasks of a gang, on the best workers.
 start_result
 TryStart(plan_context& aPlan, const job_record& aJob, std::uint32_t aIndex);
 
-// The first task from aFrom on that may start now.
+// Returns the first task at or after aFrom that may start now.
 std::optional<std::uint32_t>
 NextTask(const plan_context& aPlan,
          const job_record& aJob,
          std::uint32_t aFrom);
 
-// For a job that found no room: makes room by ending lesser work, or holds
-// the places where room comes first. True, if room is being made.
+// Frees capacity for a job that doesn't fit by preempting less important work,
+// or reserves capacity where it will be free first. Returns true if capacity
+// is being freed.
 bool
 MakeRoom(plan_context& aPlan, const job_record& aJob);
 bool
@@ -73,30 +74,31 @@
 bool
 TryReserve(plan_context& aPlan, const job_record& aJob, std::uint32_t aNeeded);
 
-// How long the job has waited for its next start, in ms.
+// Returns how long the job has waited for its next start, in ms.
 std::int64_t
 WaitedMs(const plan_context& aPlan, const job_record& aJob);
-// Waits longer than its class's bound.
+// Returns true if the job has waited longer than its class's bound.
 bool
 IsAged(const plan_context& aPlan, const job_record& aJob);
 
-// A task that can be ended without losing work that must not be lost.
+// Returns true if a task can be ended without losing work that must be kept.
 inline bool
 IsEvictable(const job_spec& aSpec)
 {
   return MayRunAgain(aSpec) || aSpec.mCheckpointable;
 }
-// By checkpoint, if it has any.
+// Returns the least disruptive way to end a task: a checkpoint if supported.
 stop_mode
 GentlestEnd(const job_spec& aSpec);
 
-// When the task will end (wall clock, ms); never, for replicas.
+// Returns when the task will end (wall clock, ms); replicas never end.
 std::int64_t
 ExpectedEndMs(const plan_context& aPlan,
               const job_record& aJob,
               const task_record& aTask);
 
-// Proposes a stop, unless it is in flight or as much was asked already.
+// Proposes a stop, unless it is in flight or a stop at least as strong was
+// already requested.
 void
 ProposeStop(plan_context& aPlan,
             const task_id& aTask,
--- a/oriolewalk/cell/upkeep.cc
+++ b/oriolewalk/cell/upkeep.cc
@@ -1,5 +1,5 @@
-// What is due by time: reservations that lapse or overrun, throttles that are
-// taken back, workers that drain.
+// Periodic upkeep: expired or overdue reservations, throttles to lift, and
+// draining workers.
 
 #include <algorithm>
 #include <cstdint>
@@ -19,10 +19,11 @@
 namespace oriolewalk::cell {
 namespace {
 
-// A reservation whose room is this late is made anew, where room comes first
-// by now.
+// A reservation whose capacity is this late is made again, where capacity is
+// now expected first.
 constexpr std::int64_t kLateMs = 10'000;
-// Made room that isn't there after this many escalations is sought elsewhere.
+// If preemption hasn't freed the capacity after this many escalations, it is
+// searched for elsewhere.
 constexpr int kEscalations = 3;
 
 bool
@@ -43,8 +44,8 @@
   return lost || aPlan.mNow.mWallMs > aHeld.mStartMs + kLateMs;
 }
 
-// A checkpoint that takes too long becomes a stop, where nothing but time is
-// lost by it.
+// Escalates a checkpoint that takes too long to a stop, if the stop costs only
+// time.
 void
 Escalate(plan_context& aPlan, worker_slot aSlot)
 {
@@ -58,8 +59,8 @@
   }
 }
 
-// Who backfilled a place that is due now goes: the reservation isn't late for
-// a task that took longer than it said.
+// Ends tasks that backfilled a reservation that is now due. A task that runs
+// longer than declared must not delay the reservation.
 void
 EndBackfill(plan_context& aPlan, worker_slot aSlot)
 {
@@ -85,9 +86,9 @@
   }
 }
 
-// Replicas move one at a time, each when all others of its service run; work
-// with checkpoints goes on elsewhere; the rest may finish until the deadline.
-// What must not run twice is never stopped.
+// Replicas move one at a time, each when all others of its service run. Tasks
+// with checkpoints continue elsewhere; the others may finish until the
+// deadline. Tasks that must not run twice are never stopped.
 void
 DrainTask(plan_context& aPlan, const worker_record& aWorker, const task_id& aId)
 {
--- a/oriolewalk/cell/worker_index.cc
+++ b/oriolewalk/cell/worker_index.cc
@@ -17,13 +17,12 @@
 namespace oriolewalk::cell {
 namespace {
 
-// Steps a dimension, tried with `oriole-bench cell`: 8 fill the cell to 96.0
-// percent, 16 to 97.9, 32 to 97.7 with a sixth fewer placements a second at
-// 4,800 workers.
+// Steps per dimension. 8 steps fill the cell to 96.0 percent, 16 to 97.9, and
+// 32 to 97.7 with a sixth fewer placements per second at 4,800 workers.
 constexpr std::int64_t kSteps = 16;
 constexpr std::int64_t kMostStep = 255;
 constexpr unsigned kStepBits = 8;
-// Workers looked at in a bucket before the next bucket is tried.
+// Workers examined in a bucket before the next bucket is tried.
 constexpr std::size_t kShortLook = 12;
 
 std::int64_t
@@ -61,8 +60,8 @@
 resources
 worker_index::UpperBound(bucket_key aKey) const
 {
-  // Free amounts are at most the largest worker's, which is below the last
-  // step: every bucket has a bound.
+  // Free amounts don't exceed the largest worker's capacity, which is below
+  // the last step, so every bucket has an upper bound.
   return LowerBound(aKey) + mUnit - resources{ 1, 1, 1 };
 }
 
@@ -164,7 +163,7 @@
     const resources& capacity = mEntries[group.mSlots.front()].mCapacity;
     mRanked.emplace_back(Score(aPolicy, aRequest, middle, capacity), key);
   }
-  // A heap: mostly the first bucket has the answer.
+  // A heap suffices, because the first bucket usually has a fitting worker.
   std::ranges::make_heap(mRanked, std::ranges::greater{});
 }
 
@@ -215,7 +214,7 @@
       return found;
     }
   }
-  // Short looks may have missed the only worker with room.
+  // The short scans may have missed the only worker that fits.
   for (const auto& [score, key] : mRanked) {
     bucket& whole = mBuckets.at(key);
     if (whole.mSlots.size() <= kShortLook) {
@@ -247,7 +246,7 @@
                          const accept_function& aAccept,
                          random_source& aRandom) const
 {
-  // Each of the k workers with room so far is kept with probability 1/k.
+  // Each of the k fitting workers so far is chosen with probability 1/k.
   worker_slot chosen = kNoWorker;
   std::uint64_t seen = 0;
   for (worker_slot slot = 0; slot < mEntries.size(); ++slot) {
--- a/oriolewalk/cell/worker_index.h
+++ b/oriolewalk/cell/worker_index.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// Finds the worker for a request without looking at every worker.
+// Finds a worker for a request without scanning all workers.
 //
 //   worker_index index;
 //   index.Set(slot, free, capacity);
 //   index.Find(shaped_fit{}, request, acceptAll, random);
 //
-// Workers stand in buckets by what they have free, in sixteenths of the
-// largest worker; the number of buckets in use stops growing long before the
-// number of workers does, so that a decision at 4,800 workers costs little
-// more than at 480. A linear scan would cost ten times as much.
+// Workers are grouped in buckets by their free capacity, in sixteenths of the
+// largest worker. The number of buckets in use stops growing long before the
+// number of workers does, so a decision at 4,800 workers costs little more
+// than at 480. A linear scan would cost ten times as much.
 
 #include <array>
 #include <cstddef>
@@ -33,7 +33,8 @@
 public:
   using accept_function = std::function<bool(worker_slot)>;
 
-  // True, if the worker's room grew in some dimension (or it is new).
+  // Returns true if the worker is new or its free capacity grew in any
+  // dimension.
   bool Set(worker_slot aSlot,
            const resources& aFree,
            const resources& aCapacity);
@@ -45,10 +46,10 @@
     return aSlot < mEntries.size() && mEntries[aSlot].mIn;
   }
 
-  // The worker that the policy likes best, of those with room that aAccept
-  // takes; none, if there is none. Cost for shaped and best fit: the buckets
-  // in use and a few workers; all workers only before it answers none. The
-  // baselines scan.
+  // Returns the best worker by the policy of those that fit and that aAccept
+  // accepts, or nullopt if there is none. Cost of shaped and best fit: the
+  // buckets in use and a few workers; all workers only if none is found. The
+  // other policies scan all workers.
   std::optional<worker_slot> Find(const packing_policy& aPolicy,
                                   const resources& aRequest,
                                   const accept_function& aAccept,
@@ -67,7 +68,7 @@
   struct bucket
   {
     std::vector<worker_slot> mSlots;
-    std::size_t mNext = 0; // Where the next short look starts.
+    std::size_t mNext = 0; // Where the next short scan starts.
   };
   struct choice
   {
@@ -81,7 +82,7 @@
   void Insert(worker_slot aSlot);
   void Remove(worker_slot aSlot);
   void Grow(const resources& aCapacity);
-  // A bucket with aFree's key shows the way: its score at aFree.
+  // Tries the buckets in the order of their scores.
   template<class Policy>
   std::optional<worker_slot> FindScored(const Policy& aPolicy,
                                         const resources& aRequest,
@@ -105,7 +106,8 @@
   resources mLargest;
   std::vector<entry> mEntries; // By slot.
   std::map<bucket_key, bucket> mBuckets;
-  std::vector<std::pair<double, bucket_key>> mRanked; // Kept for its memory.
+  std::vector<std::pair<double, bucket_key>>
+    mRanked; // Kept to reuse its memory.
 };
 
 } // namespace oriolewalk::cell
