--- a/bench/cell_bench.cc
+++ b/bench/cell_bench.cc
@@ -1,7 +1,7 @@
-// oriole-bench cell: the cost and quality of the cell's decisions at 50, 480
-// and 4,800 workers. All inputs are made from fixed seeds; time in the waiting
-// and urgent parts is simulated by the order of events alone (a calendar of
-// ends), costs are measured on this machine.
+// oriole-bench cell: measures the cost and quality of the cell's decisions at
+// 50, 480 and 4,800 workers. All inputs are generated from fixed seeds. The
+// waiting and urgent parts run in simulated time (a calendar of task ends);
+// costs are measured in real time on the local machine.
 
 #include <algorithm>
 #include <array>
@@ -60,7 +60,7 @@
   return aValues[at];
 }
 
-// Workers of 32 processors with 64 or 128 GB; one of eight has accelerators.
+// Workers have 32 processors and 64 or 128 GB; one in eight has accelerators.
 resources
 CapacityOf(std::uint32_t aAt)
 {
@@ -70,8 +70,8 @@
            aAt % 8 == 7 ? 4 : 0 };
 }
 
-// Unlike shapes: most are small, some want memory, some processors, a few
-// accelerators; sizes that don't divide a worker evenly.
+// Generates different shapes: most are small, some need much memory, some many
+// processors and a few accelerators. The sizes don't divide a worker evenly.
 job_spec
 MakeJob(random_source& aRandom)
 {
@@ -84,9 +84,9 @@
                     aRandom.Below(static_cast<std::uint64_t>(aHigh - aLow)));
   };
   const std::uint64_t shape = aRandom.Below(30);
-  if (shape < 11) { // For its memory.
+  if (shape < 11) { // Memory-heavy.
     spec.mEach = { random(500, 3000), random(8000, 28'000), 0 };
-  } else if (shape < 19) { // For its processors.
+  } else if (shape < 19) { // Processor-heavy.
     spec.mEach = { random(3000, 14'000), random(500, 6000), 0 };
   } else if (shape < 20) {
     spec.mEach = { random(1000, 6000), random(4000, 16'000), random(1, 3) };
@@ -106,7 +106,7 @@
   return spec;
 }
 
-// A cell whose log applies at once.
+// A cell that applies each command immediately.
 class bench_cell
 {
 public:
@@ -128,7 +128,7 @@
   {
     scheduler_options options;
     options.mPacking = aPacking;
-    // Nobody polls here; leases are not what is measured.
+    // No worker polls in this benchmark, so the leases must not expire.
     options.mLease = milliseconds(1'000'000'000);
     options.mQuiet = options.mLease;
     return options;
@@ -177,10 +177,10 @@
 struct cost
 {
   double mPlacementsPerSecond = 0;
-  double mP50 = 0; // Of one decision: submit, plan and apply of one job.
+  double mP50 = 0; // Per decision: submit, plan and apply one job, in us.
   double mP99 = 0;
   double mMicrosPerPlacement = 0;
-  double mLoadedP99 = 0; // Of one Plan with thousands waiting.
+  double mLoadedP99 = 0; // Per Plan with thousands of jobs waiting, in us.
 };
 
 std::size_t
@@ -195,7 +195,7 @@
   return count;
 }
 
-// Bulk: as many tasks wait as fit; plans and applies until all run.
+// Submits as many tasks as fit, then plans and applies until all of them run.
 void
 MeasureBulk(bench_cell& aCell, std::uint32_t aTasks, cost& aCost)
 {
@@ -225,8 +225,8 @@
   aCost.mLoadedP99 = Quantile(plans, 0.99);
 }
 
-// One at a time on the loaded cell: a job comes, is decided and starts; one
-// that runs ends, so that the load stays.
+// Submits, plans and starts one job at a time on the loaded cell. A running job
+// ends for each, so that the load stays constant.
 void
 MeasureSingles(bench_cell& aCell, cost& aCost)
 {
@@ -280,10 +280,10 @@
   return result;
 }
 
-// How full the cell gets, and how much of what is free nothing can use.
+// Measures how full the cell gets and how much free capacity is unusable.
 struct packing_result
 {
-  double mBindingUsed = 0; // Of the dimension that is fullest.
+  double mBindingUsed = 0; // Share of the fullest dimension.
   double mStranded = 0;    // Free processors on workers without free memory
                            // for the smallest common shape, and the reverse.
   std::array<double, kClassCount> mMeanWaitMs{};
@@ -315,8 +315,9 @@
          2;
 }
 
-// Jobs come one by one and stay; what doesn't fit when it comes is cancelled.
-// Ends when as much was asked for as the cell has of the scarcest dimension.
+// Jobs arrive one by one and stay; a job that doesn't fit on arrival is
+// cancelled. Ends when the requests add up to the cell's capacity in one
+// dimension.
 fill_result
 MeasureFill(std::uint32_t aWorkers,
             const packing_policy& aPacking,
@@ -327,7 +328,7 @@
   resources asked;
   while (DominantShare(asked, cell.mState.TotalCapacity()) < 1.0) {
     job_spec spec = MakeJob(random);
-    spec.mClass = job_class::Normal; // Nobody is preempted here.
+    spec.mClass = job_class::Normal; // Causes no preemption.
     asked += spec.mEach;
     const job_number job = cell.Submit(spec);
     for (const cell_command& command : cell.Plan()) {
@@ -335,7 +336,7 @@
     }
     if (cell.mState.FindJob(job)->State() == job_state::Waiting) {
       cell.Do(cancel_job{ job });
-      cell.mMs += 1000; // What was held for it is given up.
+      cell.mMs += 1000; // Lets its reservation expire.
       for (const cell_command& command : cell.Plan()) {
         cell.Do(command);
       }
@@ -349,8 +350,8 @@
            Stranded(cell.mState) };
 }
 
-// Nine tenths of what the cell can do comes at an even pace; ends stand in a
-// calendar. Each policy gets the same jobs.
+// Jobs arrive at a constant rate of nine tenths of the cell's throughput. A
+// calendar holds their ends. Each policy gets the same jobs.
 class calendar
 {
 public:
@@ -425,8 +426,8 @@
       task_ended{ aTask, aRecord.mAttempt, worker.mId, worker.mBoot, aResult });
   }
 
-  // What a worker would do: a stop or checkpoint ends at its next poll.
-  void Obey(const stop_task& aStop)
+  // Simulates a worker: a stop or checkpoint takes effect at its next poll.
+  void ApplyStop(const stop_task& aStop)
   {
     const task_record& task = *mCell.mState.FindTask(aStop.mTask);
     if (task.mState != task_state::Placed || aStop.mMode != task.mStop) {
@@ -452,7 +453,7 @@
   void PlanAll()
   {
     for (const stop_task& stop : std::exchange(mStops, {})) {
-      Obey(stop);
+      ApplyStop(stop);
     }
     for (const cell_command& command : mCell.Plan()) {
       mCell.Do(command);
@@ -477,7 +478,7 @@
     }
   }
 
-  // What a task still has to run; checkpoints keep what is done.
+  // Returns the remaining run time in ms; checkpoints preserve the progress.
   std::int64_t& Left(const task_id& aTask)
   {
     const auto whole = mCell.mState.FindJob(aTask.mJob)->mSpec.mExpectedMs;
@@ -580,9 +581,9 @@
   }
 }
 
-// Urgent work comes in a burst to a cell that batch work has filled to the
-// last processor: one job a worker. Workers answer a stop one poll (1 s) after
-// it was committed, and start work up to one poll after that was.
+// A burst of urgent jobs, one per worker, arrives at a cell on which batch work
+// uses every processor. Workers report a stop one poll (1 s) after its commit,
+// and start a task up to one poll after the commit of its placement.
 class urgent_burst
 {
 public:
@@ -606,7 +607,7 @@
     }
     while (mLeft > 0 && mCell.mMs < kLimitMs) {
       EndStopped();
-      // As the shell does: again after each commit that changed something.
+      // Plans again after each commit with changes, as a control process does.
       for (int round = 0; round < kRounds && PlanOnce(); ++round) {
       }
       mCell.mMs += kStepMs;
@@ -704,7 +705,7 @@
   std::uint32_t mLeft;
   std::vector<double> mWaits;
   std::vector<double> mPlans;
-  std::map<std::int64_t, std::vector<stop_task>> mStops; // By their end.
+  std::map<std::int64_t, std::vector<stop_task>> mStops; // By end time, in ms.
 };
 
 double
@@ -737,7 +738,7 @@
     "cell.snapshot_size.4800", static_cast<double>(image.size()) / kMiB, "MiB");
 }
 
-// Least squares of cost over workers, with the largest residual.
+// Fits cost over workers by least squares and reports the largest residual.
 void
 ReportSlope(bench_report& aReport, const std::vector<double>& aMicros)
 {
