--- a/oriolewalk/cell/explain.cc
+++ b/oriolewalk/cell/explain.cc
@@ -56,7 +56,7 @@
   if (const auto excess = aSpec.mEach.FirstExcess(aSoft.Free(aState, aSlot))) {
     return "no room now: " + std::string(ToString(*excess));
   }
-  if (aSoft.mBook.IsHeld(aSlot)) {
+  if (aSoft.mReservations.IsReserved(aSlot)) {
     return "held for work that comes first";
   }
   return "has room";
@@ -101,14 +101,15 @@
 }
 
 std::string
-DescribePlaces(const soft_state& aSoft, job_number aJob)
+DescribeReservation(const soft_state& aSoft, job_number aJob)
 {
-  const reservation* held = aSoft.mBook.Find(aJob);
-  if (held == nullptr) {
+  const reservation* reserved = aSoft.mReservations.Find(aJob);
+  if (reserved == nullptr) {
     return {};
   }
-  return held->mPreempts ? "; lesser work is being ended to make room"
-                         : "; places are held for it where room comes first";
+  return reserved->mPreempts
+           ? "; lesser work is being ended to make room"
+           : "; places are held for it where room comes first";
 }
 
 } // namespace
@@ -135,7 +136,7 @@
     return answer;
   }
   answer.mReason = DescribeWait(aState, *job, aNow) +
-                   DescribePlaces(*mSoft, aJob) + DescribeMoves(*job);
+                   DescribeReservation(*mSoft, aJob) + DescribeMoves(*job);
   std::map<std::string, worker_group> groups;
   for (worker_slot slot = 0; slot < aState.Workers().size(); ++slot) {
     const worker_record& worker = aState.Workers()[slot];
--- a/oriolewalk/cell/health.cc
+++ b/oriolewalk/cell/health.cc
@@ -13,14 +13,14 @@
 
 // Reached by three consecutive failures of families that always succeed
 // elsewhere, or by four of families without other results.
-constexpr double kMostBlame = 2.0;
-constexpr std::uint32_t kLeastFailures = 3;
+constexpr double kMaxBlame = 2.0;
+constexpr std::uint32_t kMinFailures = 3;
 // One family without results from other workers is never enough.
-constexpr double kMostBlameOfAFamily = 1.5;
+constexpr double kMaxBlamePerFamily = 1.5;
 constexpr double kUnknownRate = 0.5;
 constexpr seconds kFirstProbe{ 60 };
-constexpr std::uint32_t kMostDoublings = 3;
-constexpr std::size_t kMostOutDivisor = 5;
+constexpr std::uint32_t kMaxDoublings = 3;
+constexpr std::size_t kMaxOutDivisor = 5;
 constexpr std::uint32_t kHalveAt = 64;
 
 } // namespace
@@ -37,7 +37,7 @@
       all.mFailed > own.mFailed ? all.mFailed - own.mFailed : 0;
     const double elsewhere = (failed + kUnknownRate) / (ended + 1.0);
     const double each = std::max(0.0, 1.0 - elsewhere) * own.mFailed;
-    blame += ended < 1 ? std::min(each, kMostBlameOfAFamily) : each;
+    blame += ended < 1 ? std::min(each, kMaxBlamePerFamily) : each;
   }
   return blame;
 }
@@ -46,7 +46,7 @@
 worker_health::TakeOut(record& aRecord, time_point aNow)
 {
   const std::size_t most =
-    std::max<std::size_t>(mWorkers > 2 ? 1 : 0, mWorkers / kMostOutDivisor);
+    std::max<std::size_t>(mWorkers > 2 ? 1 : 0, mWorkers / kMaxOutDivisor);
   if (!aRecord.mOut) {
     if (mOut >= most) {
       return;
@@ -55,8 +55,8 @@
     ++mOut;
   }
   aRecord.mOutUntil =
-    aNow + kFirstProbe * (1U << std::min(aRecord.mTimesOut, kMostDoublings));
-  ++aRecord.mTimesOut;
+    aNow + kFirstProbe * (1U << std::min(aRecord.mOutCount, kMaxDoublings));
+  ++aRecord.mOutCount;
 }
 
 void
@@ -78,7 +78,7 @@
   record& worker = mRecords[aSlot];
   if (!aFailed) {
     worker.mFailures.clear();
-    worker.mInARow = 0;
+    worker.mConsecutiveFailures = 0;
     mOut -= worker.mOut ? 1 : 0;
     worker.mOut = false;
     return;
@@ -86,9 +86,9 @@
   counts& own = worker.mFailures[aFamily];
   ++own.mEnded;
   ++own.mFailed;
-  ++worker.mInARow;
-  if (worker.mOut ||
-      (worker.mInARow >= kLeastFailures && Blame(worker) >= kMostBlame)) {
+  ++worker.mConsecutiveFailures;
+  if (worker.mOut || (worker.mConsecutiveFailures >= kMinFailures &&
+                      Blame(worker) >= kMaxBlame)) {
     TakeOut(worker, aNow);
   }
 }
--- a/oriolewalk/cell/health.h
+++ b/oriolewalk/cell/health.h
@@ -57,9 +57,9 @@
   {
     // Failures since the latest success, by family.
     std::map<std::string, counts> mFailures;
-    std::uint32_t mInARow = 0;
+    std::uint32_t mConsecutiveFailures = 0;
     bool mOut = false;
-    std::uint32_t mTimesOut = 0;
+    std::uint32_t mOutCount = 0;
     time_point mOutUntil;
   };
 
--- a/oriolewalk/cell/learning.cc
+++ b/oriolewalk/cell/learning.cc
@@ -12,13 +12,13 @@
 namespace oriolewalk::cell {
 namespace {
 
-constexpr std::size_t kMostFamilies = 20'000;
-constexpr std::size_t kLeastRuns = 3;
+constexpr std::size_t kMaxFamilies = 20'000;
+constexpr std::size_t kMinRuns = 3;
 // The estimate is at most four times the declared size: a broken usage report
 // must not make a family unplaceable.
-constexpr double kMostRatio = 4.0;
+constexpr double kMaxRatio = 4.0;
 // Each report lowers the peak by a hundredth of its excess over the report.
-constexpr double kForget = 0.01;
+constexpr double kPeakDecay = 0.01;
 
 double
 NewPeak(double aPeak, std::int64_t aUsed, std::int64_t aDeclared)
@@ -29,8 +29,8 @@
   const double ratio =
     std::clamp(static_cast<double>(aUsed) / static_cast<double>(aDeclared),
                1.0,
-               kMostRatio);
-  return ratio > aPeak ? ratio : aPeak + (ratio - aPeak) * kForget;
+               kMaxRatio);
+  return ratio > aPeak ? ratio : aPeak + (ratio - aPeak) * kPeakDecay;
 }
 
 std::int64_t
@@ -62,7 +62,7 @@
   if (found != mFamilies.end()) {
     return &found->second;
   }
-  return mFamilies.size() < kMostFamilies ? &mFamilies[key] : nullptr;
+  return mFamilies.size() < kMaxFamilies ? &mFamilies[key] : nullptr;
 }
 
 const family_learning::family*
@@ -104,7 +104,7 @@
 family_learning::ExpectedMs(const job_spec& aSpec) const
 {
   const family* known = Find(aSpec);
-  if (known == nullptr || known->mCount < kLeastRuns) {
+  if (known == nullptr || known->mCount < kMinRuns) {
     return aSpec.mExpectedMs;
   }
   const std::size_t count = std::min(known->mCount, kRuns);
@@ -117,7 +117,7 @@
 }
 
 resources
-family_learning::RoomFor(const job_spec& aSpec) const
+family_learning::CapacityToSearch(const job_spec& aSpec) const
 {
   const family* known = Find(aSpec);
   if (known == nullptr) {
--- a/oriolewalk/cell/learning.h
+++ b/oriolewalk/cell/learning.h
@@ -21,7 +21,7 @@
 namespace oriolewalk::cell {
 
 // Owned by a scheduler; one thread. Memory: one small record per family,
-// at most kMostFamilies; declared values are used for any further family.
+// at most kMaxFamilies; declared values are used for any further family.
 class family_learning
 {
 public:
@@ -34,7 +34,7 @@
   // Returns the capacity to search for: the larger of the declared size and
   // the family's observed use. A job that declares too little waits for a
   // worker with more free capacity.
-  [[nodiscard]] resources RoomFor(const job_spec& aSpec) const;
+  [[nodiscard]] resources CapacityToSearch(const job_spec& aSpec) const;
 
 private:
   static constexpr std::size_t kRuns = 16;
--- a/oriolewalk/cell/order.cc
+++ b/oriolewalk/cell/order.cc
@@ -103,13 +103,13 @@
         return true;
       case start_result::Paced:
         return NextJob(aCursor);
-      case start_result::NoRoom:
-        if (MakeRoom(mPlan, job)) {
+      case start_result::DoesNotFit:
+        if (FreeCapacityFor(mPlan, job)) {
           return NextJob(aCursor); // It has a reservation and overtakes no job.
         }
         return ++aCursor.mSkipped <= mPlan.mSoft.mOptions.mBackfillDepth &&
                NextJob(aCursor);
-      case start_result::NoQuota:
+      case start_result::ExceedsQuota:
         break;
     }
     return false;
@@ -162,8 +162,8 @@
   for (const job_class each : { job_class::Heavy, job_class::Normal }) {
     const job_record* job = OldestAged(aPlan, each);
     const auto task = job == nullptr ? std::nullopt : NextTask(aPlan, *job, 0);
-    if (task && TryStart(aPlan, *job, *task) == start_result::NoRoom) {
-      MakeRoom(aPlan, *job);
+    if (task && TryStart(aPlan, *job, *task) == start_result::DoesNotFit) {
+      FreeCapacityFor(aPlan, *job);
     }
   }
 }
--- a/oriolewalk/cell/placing.cc
+++ b/oriolewalk/cell/placing.cc
@@ -34,12 +34,12 @@
 
 // Returns whether a smaller task may run beside the reserved capacity.
 bool
-FitsBesideHeld(const plan_context& aPlan,
-               const resources& aSize,
-               worker_slot aSlot,
-               const held_room& aHeld)
+FitsBesideReserved(const plan_context& aPlan,
+                   const resources& aSize,
+                   worker_slot aSlot,
+                   const reserved_capacity& aReserved)
 {
-  const resources needed = aSize + aHeld.mAmount;
+  const resources needed = aSize + aReserved.mAmount;
   resources free = aPlan.mSoft.Free(aPlan.mState, aSlot);
   if (needed.FitsIn(free)) {
     return true;
@@ -47,7 +47,7 @@
   for (const task_id& id : aPlan.mState.Workers()[aSlot].mTasks) {
     const job_record& job = *aPlan.mState.FindJob(id.mJob);
     const task_record& task = job.mTasks[id.mIndex];
-    if (ExpectedEndMs(aPlan, job, task) <= aHeld.mFromMs) {
+    if (ExpectedEndMs(aPlan, job, task) <= aReserved.mFromMs) {
       free += Booking(job.mSpec, task);
     }
   }
@@ -73,10 +73,10 @@
 
   std::optional<worker_slot> Find()
   {
-    if (const auto own = FindOwnPlace()) {
+    if (const auto own = FindReservedPlace()) {
       return own;
     }
-    const resources padded = mSoft.mLearning.RoomFor(mJob.mSpec);
+    const resources padded = mSoft.mLearning.CapacityToSearch(mJob.mSpec);
     const bool pads = padded != mJob.mSpec.mEach &&
                       mJob.mSpec.mClass != job_class::Urgent &&
                       WaitedMs(mPlan, mJob) < kPaddedWaitMs;
@@ -90,13 +90,13 @@
   }
 
 private:
-  std::optional<worker_slot> FindOwnPlace()
+  std::optional<worker_slot> FindReservedPlace()
   {
-    const reservation* held = mSoft.mBook.Find(mJob.mNumber);
-    if (held == nullptr) {
+    const reservation* reserved = mSoft.mReservations.Find(mJob.mNumber);
+    if (reserved == nullptr) {
       return std::nullopt;
     }
-    for (const auto& [slot, count] : held->mPlaces) {
+    for (const auto& [slot, count] : reserved->mPlaces) {
       if (mSoft.mIndex.Contains(slot) &&
           mJob.mSpec.mEach.FitsIn(mSoft.Free(mPlan.mState, slot))) {
         return slot;
@@ -107,10 +107,10 @@
 
   std::optional<worker_slot> FindFor(const resources& aSize)
   {
-    no_room request{
+    unplaced_request request{
       aSize, false, mExpectedMs, MayBackfill(), mJob.mSpec.mClass
     };
-    if (mSoft.IsKnownToLackRoom(request)) {
+    if (mSoft.IsKnownUnplaceable(request)) {
       return std::nullopt;
     }
     const auto found =
@@ -122,8 +122,8 @@
             [&](worker_slot aSlot) { return Accepts(aSlot, aSize); },
             mSoft.mRandom);
     if (!found && !mRejectedForTask) {
-      request.mForAll = !mRejectedForHeld;
-      mSoft.NoteNoRoom(request);
+      request.mForAll = !mRejectedForReservation;
+      mSoft.AddUnplaced(request);
     }
     return found;
   }
@@ -139,13 +139,14 @@
       mRejectedForTask = true;
       return false;
     }
-    const auto held = mSoft.mBook.HeldOn(aSlot, mJob.mNumber);
-    if (!held || mJob.mSpec.mClass < held->mClass ||
-        FitsBesideHeld(mPlan, aSize, aSlot, *held) ||
-        (MayBackfill() && mPlan.mNow.mWallMs + mExpectedMs <= held->mFromMs)) {
+    const auto reserved = mSoft.mReservations.ReservedOn(aSlot, mJob.mNumber);
+    if (!reserved || mJob.mSpec.mClass < reserved->mClass ||
+        FitsBesideReserved(mPlan, aSize, aSlot, *reserved) ||
+        (MayBackfill() &&
+         mPlan.mNow.mWallMs + mExpectedMs <= reserved->mFromMs)) {
       return true;
     }
-    mRejectedForHeld = true;
+    mRejectedForReservation = true;
     return false;
   }
 
@@ -242,7 +243,7 @@
   std::int64_t mExpectedMs;
   const std::vector<worker_slot>* mFailedOn = nullptr;
   bool mRejectedForTask = false;
-  bool mRejectedForHeld = false;
+  bool mRejectedForReservation = false;
   std::map<data_centre_id, std::uint32_t> mByCentre;
   std::map<std::pair<data_centre_id, rack_id>, std::uint32_t> mByRack;
   std::map<worker_slot, std::uint32_t> mByWorker;
@@ -257,9 +258,9 @@
   soft_state& soft = aPlan.mSoft;
   const worker_record& worker = aPlan.mState.Workers()[aSlot];
   const task_id task{ aJob.mNumber, aIndex };
-  const auto held = soft.mBook.HeldOn(aSlot, aJob.mNumber);
-  if (held && aJob.mSpec.mClass >= held->mClass &&
-      !FitsBesideHeld(aPlan, aJob.mSpec.mEach, aSlot, *held)) {
+  const auto reserved = soft.mReservations.ReservedOn(aSlot, aJob.mNumber);
+  if (reserved && aJob.mSpec.mClass >= reserved->mClass &&
+      !FitsBesideReserved(aPlan, aJob.mSpec.mEach, aSlot, *reserved)) {
     soft.mBackfilled.insert(task);
   }
   aPlan.mStarts.mPlacements.push_back(
@@ -281,13 +282,13 @@
   }
 }
 
-// Starts all tasks or none. Two gangs that each held some places while waiting
+// Starts all tasks or none. Two gangs that each occupied places while waiting
 // for the others could deadlock.
 start_result
 TryStartGang(plan_context& aPlan, const job_record& aJob)
 {
   const std::size_t before = aPlan.mStarts.mPlacements.size();
-  const auto known = aPlan.mSoft.mNoRoom;
+  const auto known = aPlan.mSoft.mUnplaced;
   for (std::uint32_t at = aJob.mFirstWaiting; at < aJob.mTasks.size(); ++at) {
     if (aJob.mTasks[at].mState != task_state::Waiting) {
       continue;
@@ -295,8 +296,8 @@
     const auto slot = worker_choice(aPlan, aJob, at).Find();
     if (!slot) {
       TakeBack(aPlan, before);
-      aPlan.mSoft.mNoRoom = known; // Valid for the trial only.
-      return start_result::NoRoom;
+      aPlan.mSoft.mUnplaced = known; // Valid for the trial only.
+      return start_result::DoesNotFit;
     }
     ProposeStart(aPlan, aJob, at, *slot);
   }
@@ -313,14 +314,14 @@
   const bool gang = aJob.mSpec.mKind == job_kind::Gang;
   const resources needed = aJob.mSpec.mEach * (gang ? aJob.mWaiting : 1);
   if (!soft.QuotaAllows(aPlan.mState, aJob.mOrganisation, needed)) {
-    return start_result::NoQuota;
+    return start_result::ExceedsQuota;
   }
   if (gang) {
     return TryStartGang(aPlan, aJob);
   }
   const auto slot = worker_choice(aPlan, aJob, aIndex).Find();
   if (!slot) {
-    return start_result::NoRoom;
+    return start_result::DoesNotFit;
   }
   if (aJob.mTasks[aIndex].mAttempt > 0 &&
       aJob.mSpec.mClass != job_class::Urgent &&
@@ -328,8 +329,8 @@
     return start_result::Paced;
   }
   ProposeStart(aPlan, aJob, aIndex, *slot);
-  if (soft.mBook.Find(aJob.mNumber) != nullptr) {
-    soft.mBook.Use(aJob.mNumber, *slot);
+  if (soft.mReservations.Find(aJob.mNumber) != nullptr) {
+    soft.mReservations.Use(aJob.mNumber, *slot);
   }
   return start_result::Started;
 }
--- a/oriolewalk/cell/plan.cc
+++ b/oriolewalk/cell/plan.cc
@@ -33,7 +33,7 @@
     if (!worker.mKnown || !worker.mPresent || view.mLossProposed) {
       continue;
     }
-    const duration silence = aPlan.mNow.mNow - view.mHeard;
+    const duration silence = aPlan.mNow.mNow - view.mLastContact;
     if (silence > soft.mOptions.mQuiet && soft.mIndex.Contains(slot)) {
       soft.Refresh(aPlan.mState, slot, aPlan.mNow.mNow);
     }
@@ -66,9 +66,9 @@
   if (soft.mHealth.HasSuspects()) {
     soft.RefreshAll(aPlan.mState, aPlan.mNow.mNow); // A probe may be due.
   }
-  KeepReservations(aPlan);
-  KeepThrottles(aPlan);
-  KeepDrains(aPlan);
+  MaintainReservations(aPlan);
+  LiftThrottles(aPlan);
+  PlanDrains(aPlan);
   return true;
 }
 
--- a/oriolewalk/cell/poll.cc
+++ b/oriolewalk/cell/poll.cc
@@ -24,14 +24,14 @@
 
 // Builds the reply to one poll. Commands are derived from the committed state
 // each time, so no command is lost with a reply or with a change of leader.
-class poll_answer
+class reply_builder
 {
 public:
-  poll_answer(soft_state& aSoft,
-              const cell_state& aState,
-              worker_slot aSlot,
-              const worker_poll& aPoll,
-              time_point aNow)
+  reply_builder(soft_state& aSoft,
+                const cell_state& aState,
+                worker_slot aSlot,
+                const worker_poll& aPoll,
+                time_point aNow)
     : mSoft(aSoft)
     , mState(aState)
     , mSlot(aSlot)
@@ -45,13 +45,13 @@
   {
     mReply.mLease = mSoft.mOptions.mLease;
     for (const reported_end& end : mPoll.mEnded) {
-      TakeEnd(end);
+      OnEnd(end);
     }
     for (const running_task& running : mPoll.mRunning) {
-      TakeRunning(running);
+      OnRunning(running);
     }
-    if (mHidden != mSoft.mWorkers[mSlot].mHidden) {
-      mSoft.mWorkers[mSlot].mHidden = mHidden;
+    if (mUnbookedUse != mSoft.mWorkers[mSlot].mUnbookedUse) {
+      mSoft.mWorkers[mSlot].mUnbookedUse = mUnbookedUse;
       mSoft.Refresh(mState, mSlot, mNow);
     }
     for (const task_id& task : mWorker.mTasks) {
@@ -80,7 +80,7 @@
     mReply.mCommands.push_back({ aKind, aTask, aAttempt, {}, 0 });
   }
 
-  void TakeEnd(const reported_end& aEnd)
+  void OnEnd(const reported_end& aEnd)
   {
     if (Placed(aEnd.mTask, aEnd.mAttempt) == nullptr) {
       // The end is recorded or superseded by a loss, so the worker may drop it.
@@ -94,7 +94,7 @@
     }
   }
 
-  void TakeRunning(const running_task& aRunning)
+  void OnRunning(const running_task& aRunning)
   {
     const task_record* task = Placed(aRunning.mTask, aRunning.mAttempt);
     if (task == nullptr) {
@@ -113,7 +113,7 @@
         return;
       case stop_mode::None:
       case stop_mode::Throttle:
-        KeepLimit(aRunning, *task);
+        EnforceLimit(aRunning, *task);
     }
   }
 
@@ -124,10 +124,10 @@
     const job_spec& spec = mState.FindJob(aRunning.mTask.mJob)->mSpec;
     mSoft.mLearning.NoteUsage(spec, aRunning.mUsage);
     const resources booking = Booking(spec, aTask);
-    mHidden += Largest(aRunning.mUsage, booking) - booking;
+    mUnbookedUse += Largest(aRunning.mUsage, booking) - booking;
   }
 
-  void KeepLimit(const running_task& aRunning, const task_record& aTask)
+  void EnforceLimit(const running_task& aRunning, const task_record& aTask)
   {
     const job_spec& spec = mState.FindJob(aRunning.mTask.mJob)->mSpec;
     const std::int64_t whole = spec.mEach.mMilliProcessors;
@@ -171,7 +171,7 @@
   const worker_record& mWorker;
   std::unordered_map<task_id, std::uint32_t> mShown;
   worker_reply mReply;
-  resources mHidden;
+  resources mUnbookedUse;
 };
 
 } // namespace
@@ -191,12 +191,12 @@
     return reply;
   }
   worker_view& view = mSoft->mWorkers[slot];
-  view.mHeard = std::max(view.mHeard, aNow.mNow);
-  view.mSeen = true;
+  view.mLastContact = std::max(view.mLastContact, aNow.mNow);
+  view.mHasContact = true;
   if (!mSoft->mIndex.Contains(slot)) {
     mSoft->Refresh(aState, slot, aNow.mNow);
   }
-  return poll_answer(*mSoft, aState, slot, aPoll, aNow.mNow).Take();
+  return reply_builder(*mSoft, aState, slot, aPoll, aNow.mNow).Take();
 }
 
 } // namespace oriolewalk::cell
--- a/oriolewalk/cell/reservations.cc
+++ b/oriolewalk/cell/reservations.cc
@@ -11,29 +11,29 @@
 namespace oriolewalk::cell {
 
 void
-reservation_book::Add(reservation aReservation)
+reservation_table::Add(reservation aReservation)
 {
   const job_number job = aReservation.mJob;
   Remove(job);
   for (const auto& [slot, count] : aReservation.mPlaces) {
-    mOn[slot].push_back(job);
+    mJobsBySlot[slot].push_back(job);
   }
   Count(aReservation, true);
   mByJob.emplace(job, std::move(aReservation));
 }
 
 void
-reservation_book::Remove(job_number aJob)
+reservation_table::Remove(job_number aJob)
 {
   const auto found = mByJob.find(aJob);
   if (found == mByJob.end()) {
     return;
   }
   for (const auto& [slot, count] : found->second.mPlaces) {
-    auto& jobs = mOn[slot];
+    auto& jobs = mJobsBySlot[slot];
     std::erase(jobs, aJob);
     if (jobs.empty()) {
-      mOn.erase(slot);
+      mJobsBySlot.erase(slot);
     }
   }
   Count(found->second, false);
@@ -41,7 +41,7 @@
 }
 
 void
-reservation_book::Use(job_number aJob, worker_slot aSlot)
+reservation_table::Use(job_number aJob, worker_slot aSlot)
 {
   const auto found = mByJob.find(aJob);
   if (found == mByJob.end()) {
@@ -62,53 +62,53 @@
 }
 
 const reservation*
-reservation_book::Find(job_number aJob) const
+reservation_table::Find(job_number aJob) const
 {
   const auto found = mByJob.find(aJob);
   return found == mByJob.end() ? nullptr : &found->second;
 }
 
 bool
-reservation_book::Waits(organisation_slot aOrganisation) const
+reservation_table::Waits(organisation_slot aOrganisation) const
 {
-  return mWaitingOf.contains(aOrganisation);
+  return mWaitingByOrganisation.contains(aOrganisation);
 }
 
 void
-reservation_book::Count(const reservation& aReservation, bool aAdded)
+reservation_table::Count(const reservation& aReservation, bool aAdded)
 {
   if (aReservation.mPreempts) {
     mPreempting += aAdded ? 1 : -1;
     return;
   }
-  std::uint32_t& waiting = mWaitingOf[aReservation.mOrganisation];
+  std::uint32_t& waiting = mWaitingByOrganisation[aReservation.mOrganisation];
   waiting += aAdded ? 1 : -1;
   if (waiting == 0) {
-    mWaitingOf.erase(aReservation.mOrganisation);
+    mWaitingByOrganisation.erase(aReservation.mOrganisation);
   }
 }
 
-std::optional<held_room>
-reservation_book::HeldOn(worker_slot aSlot, job_number aJob) const
+std::optional<reserved_capacity>
+reservation_table::ReservedOn(worker_slot aSlot, job_number aJob) const
 {
-  const auto found = mOn.find(aSlot);
-  if (found == mOn.end()) {
+  const auto found = mJobsBySlot.find(aSlot);
+  if (found == mJobsBySlot.end()) {
     return std::nullopt;
   }
-  std::optional<held_room> held;
+  std::optional<reserved_capacity> reserved;
   for (const job_number job : found->second) {
     if (job == aJob) {
       continue;
     }
     const reservation& each = mByJob.at(job);
-    if (!held) {
-      held = held_room{ {}, each.mStartMs, each.mClass };
+    if (!reserved) {
+      reserved = reserved_capacity{ {}, each.mStartMs, each.mClass };
     }
-    held->mAmount += each.mEach * each.mPlaces.at(aSlot);
-    held->mFromMs = std::min(held->mFromMs, each.mStartMs);
-    held->mClass = std::min(held->mClass, each.mClass);
+    reserved->mAmount += each.mEach * each.mPlaces.at(aSlot);
+    reserved->mFromMs = std::min(reserved->mFromMs, each.mStartMs);
+    reserved->mClass = std::min(reserved->mClass, each.mClass);
   }
-  return held;
+  return reserved;
 }
 
 } // namespace oriolewalk::cell
--- a/oriolewalk/cell/reservations.h
+++ b/oriolewalk/cell/reservations.h
@@ -3,8 +3,8 @@
 // Reserves capacity for jobs that don't fit yet, so that later, smaller jobs
 // can't starve them.
 //
-//   book.Add({ job, spec.mEach, { { slot, 1 } }, startMs, ... });
-//   book.HeldOn(slot, exceptJob);
+//   reservations.Add({ job, spec.mEach, { { slot, 1 } }, startMs, ... });
+//   reservations.ReservedOn(slot, exceptJob);
 
 #include <cstddef>
 #include <cstdint>
@@ -33,11 +33,11 @@
   std::int64_t mStartMs = 0;
   std::int64_t mExpectedMs = 0; // Expected run time.
   bool mPreempts = false;       // Running tasks are being preempted.
-  time_point mMade;
+  time_point mCreated;
 };
 
 // Capacity of a worker that is reserved for other jobs.
-struct held_room
+struct reserved_capacity
 {
   resources mAmount;
   std::int64_t mFromMs = 0; // The earliest start.
@@ -45,7 +45,7 @@
 };
 
 // Owned by a scheduler; one thread.
-class reservation_book
+class reservation_table
 {
 public:
   void Add(reservation aReservation);
@@ -66,26 +66,28 @@
   // Returns true if the organisation has a reservation that only waits.
   [[nodiscard]] bool Waits(organisation_slot aOrganisation) const;
   // Returns the jobs with reservations on the worker.
-  [[nodiscard]] std::vector<job_number> HoldersOn(worker_slot aSlot) const
+  [[nodiscard]] std::vector<job_number> JobsReservedOn(worker_slot aSlot) const
   {
-    const auto found = mOn.find(aSlot);
-    return found == mOn.end() ? std::vector<job_number>() : found->second;
+    const auto found = mJobsBySlot.find(aSlot);
+    return found == mJobsBySlot.end() ? std::vector<job_number>()
+                                      : found->second;
   }
-  [[nodiscard]] bool IsHeld(worker_slot aSlot) const
+  [[nodiscard]] bool IsReserved(worker_slot aSlot) const
   {
-    return mOn.contains(aSlot);
+    return mJobsBySlot.contains(aSlot);
   }
   // Returns nullopt if no job other than aJob has a reservation there.
-  [[nodiscard]] std::optional<held_room> HeldOn(worker_slot aSlot,
-                                                job_number aJob) const;
+  [[nodiscard]] std::optional<reserved_capacity> ReservedOn(
+    worker_slot aSlot,
+    job_number aJob) const;
 
 private:
   void Count(const reservation& aReservation, bool aAdded);
 
   std::map<job_number, reservation> mByJob;
   std::size_t mPreempting = 0;
-  std::map<organisation_slot, std::uint32_t> mWaitingOf;
-  std::unordered_map<worker_slot, std::vector<job_number>> mOn;
+  std::map<organisation_slot, std::uint32_t> mWaitingByOrganisation;
+  std::unordered_map<worker_slot, std::vector<job_number>> mJobsBySlot;
 };
 
 } // namespace oriolewalk::cell
--- a/oriolewalk/cell/room.cc
+++ b/oriolewalk/cell/room.cc
@@ -24,11 +24,11 @@
 
 constexpr std::int64_t kNever = std::numeric_limits<std::int64_t>::max();
 // Max places freed for one job in one Plan; the next Plan continues.
-constexpr std::uint32_t kMostPlaces = 16;
+constexpr std::uint32_t kMaxPlaces = 16;
 // Work that was moved this often on average isn't preempted, so that it doesn't
 // move back and forth. A checkpoint loses less and may happen more often.
-constexpr std::uint32_t kMostStops = 2;
-constexpr std::uint32_t kMostCheckpoints = 8;
+constexpr std::uint32_t kMaxStops = 2;
+constexpr std::uint32_t kMaxCheckpoints = 8;
 // A stronger stop mode always costs more than any loss under a weaker one.
 constexpr double kStepCost = 1e15;
 
@@ -51,10 +51,10 @@
 // Finds the cheapest preemption for the tasks of one job. Without it an urgent
 // request to a cell that a night batch has filled would wait until a batch
 // task ends by itself.
-class room_search
+class preemption_search
 {
 public:
-  room_search(plan_context& aPlan, const job_record& aJob)
+  preemption_search(plan_context& aPlan, const job_record& aJob)
     : mPlan(aPlan)
     , mJob(aJob)
   {
@@ -74,11 +74,11 @@
   }
 
   // Marks the place as taken for later searches of this job.
-  void Take(const eviction& aRoom)
+  void Take(const eviction& aEviction)
   {
-    resources& taken = mTaken[aRoom.mWorker];
+    resources& taken = mTaken[aEviction.mWorker];
     taken += mJob.mSpec.mEach;
-    for (const victim& each : aRoom.mVictims) {
+    for (const victim& each : aEviction.mVictims) {
       taken -= each.mGain;
       mVictims.insert(each.mTask);
     }
@@ -113,18 +113,19 @@
     if (!mPlan.mSoft.mIndex.Contains(aSlot) || !size.FitsIn(worker.mCapacity)) {
       return std::nullopt;
     }
-    resources room = mPlan.mSoft.Free(mPlan.mState, aSlot);
-    if (const auto held = mPlan.mSoft.mBook.HeldOn(aSlot, job_number(0))) {
-      room -= held->mAmount;
+    resources capacity = mPlan.mSoft.Free(mPlan.mState, aSlot);
+    if (const auto reserved =
+          mPlan.mSoft.mReservations.ReservedOn(aSlot, job_number(0))) {
+      capacity -= reserved->mAmount;
     }
     if (const auto taken = mTaken.find(aSlot); taken != mTaken.end()) {
-      room -= taken->second;
+      capacity -= taken->second;
     }
     std::vector<victim> candidates;
     for (const task_id& id : worker.mTasks) {
-      room += Consider(id, candidates);
+      capacity += Consider(id, candidates);
     }
-    return Choose(aSlot, room, std::move(candidates));
+    return Choose(aSlot, capacity, std::move(candidates));
   }
 
   // Adds the task to the candidates, or returns what it is about to free.
@@ -159,7 +160,7 @@
     const double classCost =
       spec.mClass == job_class::Heavy ? 0 : kStepCost / 2;
     const resources whole = Booking(spec, aRecord);
-    if (spec.mCheckpointable && aJob.mMoves < kMostCheckpoints * tasks) {
+    if (spec.mCheckpointable && aJob.mMoves < kMaxCheckpoints * tasks) {
       return victim{ aTask, stop_mode::Checkpoint, whole, classCost + loss };
     }
     if (mThrottles && !aRecord.mThrottledOnce) {
@@ -170,7 +171,7 @@
         kStepCost + classCost + loss
       };
     }
-    if (MayRunAgain(spec) && aJob.mMoves < kMostStops * tasks) {
+    if (MayRunAgain(spec) && aJob.mMoves < kMaxStops * tasks) {
       return victim{
         aTask, stop_mode::Stop, whole, 2 * kStepCost + classCost + loss
       };
@@ -182,25 +183,25 @@
   // unnecessary ones, the most expensive first.
   [[nodiscard]] std::optional<eviction> Choose(
     worker_slot aSlot,
-    resources aRoom,
+    resources aCapacity,
     std::vector<victim> aCandidates) const
   {
     const resources& size = mJob.mSpec.mEach;
     std::ranges::sort(aCandidates, {}, &victim::mCost);
     eviction answer{ aSlot, {}, 0 };
     for (const victim& each : aCandidates) {
-      if (size.FitsIn(aRoom)) {
+      if (size.FitsIn(aCapacity)) {
         break;
       }
-      aRoom += each.mGain;
+      aCapacity += each.mGain;
       answer.mVictims.push_back(each);
     }
-    if (!size.FitsIn(aRoom)) {
+    if (!size.FitsIn(aCapacity)) {
       return std::nullopt;
     }
     for (std::size_t at = answer.mVictims.size(); at-- > 0;) {
-      if (size.FitsIn(aRoom - answer.mVictims[at].mGain)) {
-        aRoom -= answer.mVictims[at].mGain;
+      if (size.FitsIn(aCapacity - answer.mVictims[at].mGain)) {
+        aCapacity -= answer.mVictims[at].mGain;
         answer.mVictims.erase(answer.mVictims.begin() +
                               static_cast<std::ptrdiff_t>(at));
       }
@@ -224,7 +225,7 @@
 {
   std::uint32_t tasks = 0;
   auto at = NextTask(aPlan, aJob, 0);
-  while (at && (aJob.mSpec.mKind == job_kind::Gang || tasks < kMostPlaces)) {
+  while (at && (aJob.mSpec.mKind == job_kind::Gang || tasks < kMaxPlaces)) {
     ++tasks;
     at = NextTask(aPlan, aJob, *at + 1);
   }
@@ -303,36 +304,36 @@
 bool
 TryPreempt(plan_context& aPlan, const job_record& aJob, std::uint32_t aNeeded)
 {
-  room_search search(aPlan, aJob);
-  std::vector<eviction> rooms;
-  while (rooms.size() < aNeeded) {
-    auto room = search.Cheapest();
-    if (!room) {
+  preemption_search search(aPlan, aJob);
+  std::vector<eviction> evictions;
+  while (evictions.size() < aNeeded) {
+    auto chosen = search.Cheapest();
+    if (!chosen) {
       break;
     }
-    search.Take(*room);
-    rooms.push_back(std::move(*room));
+    search.Take(*chosen);
+    evictions.push_back(std::move(*chosen));
   }
-  const bool whole = rooms.size() == aNeeded;
-  if (rooms.empty() || (aJob.mSpec.mKind == job_kind::Gang && !whole)) {
+  const bool whole = evictions.size() == aNeeded;
+  if (evictions.empty() || (aJob.mSpec.mKind == job_kind::Gang && !whole)) {
     return false; // Preemption wouldn't help, so no task is ended.
   }
-  reservation held;
-  held.mJob = aJob.mNumber;
-  held.mOrganisation = aJob.mOrganisation;
-  held.mClass = aJob.mSpec.mClass;
-  held.mEach = aJob.mSpec.mEach;
-  held.mStartMs = aPlan.mNow.mWallMs;
-  held.mExpectedMs = aPlan.mSoft.mLearning.ExpectedMs(aJob.mSpec);
-  held.mPreempts = true;
-  held.mMade = aPlan.mNow.mNow;
-  for (const eviction& room : rooms) {
-    ++held.mPlaces[room.mWorker];
-    for (const victim& each : room.mVictims) {
+  reservation reserved;
+  reserved.mJob = aJob.mNumber;
+  reserved.mOrganisation = aJob.mOrganisation;
+  reserved.mClass = aJob.mSpec.mClass;
+  reserved.mEach = aJob.mSpec.mEach;
+  reserved.mStartMs = aPlan.mNow.mWallMs;
+  reserved.mExpectedMs = aPlan.mSoft.mLearning.ExpectedMs(aJob.mSpec);
+  reserved.mPreempts = true;
+  reserved.mCreated = aPlan.mNow.mNow;
+  for (const eviction& chosen : evictions) {
+    ++reserved.mPlaces[chosen.mWorker];
+    for (const victim& each : chosen.mVictims) {
       ProposeStop(aPlan, each.mTask, each.mMode, stop_reason::Preempted);
     }
   }
-  aPlan.mSoft.mBook.Add(std::move(held));
+  aPlan.mSoft.mReservations.Add(std::move(reserved));
   return true;
 }
 
@@ -356,22 +357,23 @@
     ends.emplace_back(ExpectedEndMs(aPlan, job, task),
                       Booking(job.mSpec, task));
   }
-  resources room = aPlan.mSoft.Free(aPlan.mState, aSlot);
+  resources capacity = aPlan.mSoft.Free(aPlan.mState, aSlot);
   // Jobs with reservations there run first; their capacity is free again when
   // they end. If workers with reservations were left out, those of small jobs
   // would keep a gang from ever getting whole workers.
-  for (const job_number holder : aPlan.mSoft.mBook.HoldersOn(aSlot)) {
-    const reservation& held = *aPlan.mSoft.mBook.Find(holder);
-    const resources amount = held.mEach * held.mPlaces.at(aSlot);
-    room -= amount;
-    ends.emplace_back(held.mStartMs + held.mExpectedMs, amount);
+  for (const job_number holder :
+       aPlan.mSoft.mReservations.JobsReservedOn(aSlot)) {
+    const reservation& reserved = *aPlan.mSoft.mReservations.Find(holder);
+    const resources amount = reserved.mEach * reserved.mPlaces.at(aSlot);
+    capacity -= amount;
+    ends.emplace_back(reserved.mStartMs + reserved.mExpectedMs, amount);
   }
   std::ranges::sort(ends, {}, &std::pair<std::int64_t, resources>::first);
   std::int64_t when = aPlan.mNow.mWallMs;
   std::int64_t found = 0;
   const auto add = [&] {
     const std::int64_t fits =
-      std::min<std::int64_t>(aJob.mSpec.mEach.TimesIn(room), aNeeded);
+      std::min<std::int64_t>(aJob.mSpec.mEach.TimesIn(capacity), aNeeded);
     for (; found < fits; ++found) {
       aPlaces.emplace_back(when, aSlot);
     }
@@ -382,7 +384,7 @@
       break;
     }
     when = end;
-    room += booking;
+    capacity += booking;
     add();
   }
 }
@@ -412,33 +414,34 @@
   }
   std::ranges::sort(places);
   places.resize(aNeeded);
-  reservation held;
-  held.mJob = aJob.mNumber;
-  held.mOrganisation = aJob.mOrganisation;
-  held.mEach = aJob.mSpec.mEach;
-  held.mStartMs = places.back().first;
-  held.mExpectedMs = aPlan.mSoft.mLearning.ExpectedMs(aJob.mSpec);
-  held.mMade = aPlan.mNow.mNow;
-  held.mClass = IsAged(aPlan, aJob) ? job_class::Urgent : aJob.mSpec.mClass;
+  reservation reserved;
+  reserved.mJob = aJob.mNumber;
+  reserved.mOrganisation = aJob.mOrganisation;
+  reserved.mEach = aJob.mSpec.mEach;
+  reserved.mStartMs = places.back().first;
+  reserved.mExpectedMs = aPlan.mSoft.mLearning.ExpectedMs(aJob.mSpec);
+  reserved.mCreated = aPlan.mNow.mNow;
+  reserved.mClass = IsAged(aPlan, aJob) ? job_class::Urgent : aJob.mSpec.mClass;
   for (const auto& [when, slot] : places) {
-    ++held.mPlaces[slot];
+    ++reserved.mPlaces[slot];
   }
-  aPlan.mSoft.mBook.Add(std::move(held));
+  aPlan.mSoft.mReservations.Add(std::move(reserved));
   return true;
 }
 
 bool
-MakeRoom(plan_context& aPlan, const job_record& aJob)
+FreeCapacityFor(plan_context& aPlan, const job_record& aJob)
 {
   soft_state& soft = aPlan.mSoft;
-  if (const reservation* held = soft.mBook.Find(aJob.mNumber)) {
-    return held->mPreempts;
+  if (const reservation* reserved = soft.mReservations.Find(aJob.mNumber)) {
+    return reserved->mPreempts;
   }
   if (aPlan.mScanned >= soft.mOptions.mMostPlanScans ||
-      soft.mSought.contains(aJob.mNumber) || aPlan.mState.Workers().empty()) {
+      soft.mFailedSearches.contains(aJob.mNumber) ||
+      aPlan.mState.Workers().empty()) {
     return false;
   }
-  soft.mSought.emplace(aJob.mNumber, aPlan.mNow.mNow);
+  soft.mFailedSearches.emplace(aJob.mNumber, aPlan.mNow.mNow);
   constexpr std::size_t kLeastScanned = 8;
   aPlan.mScanned += kLeastScanned;
   const job_class jobClass = aJob.mSpec.mClass;
@@ -446,15 +449,16 @@
     jobClass == job_class::Urgent ||
     (jobClass == job_class::Normal &&
      WaitedMs(aPlan, aJob) > soft.mOptions.mNormalPatience.count());
-  if (preempts && soft.mBook.Count(true) < soft.mOptions.mMostReservations &&
+  if (preempts &&
+      soft.mReservations.Count(true) < soft.mOptions.mMostReservations &&
       TryPreempt(aPlan, aJob, TasksToStart(aPlan, aJob))) {
     return true;
   }
   // One per organisation: small jobs of a busy organisation would use up all
   // reservations for capacity that is free in a moment anyway.
   const bool mayHold =
-    soft.mBook.Count(false) < soft.mOptions.mMostQuietReservations &&
-    !soft.mBook.Waits(aJob.mOrganisation);
+    soft.mReservations.Count(false) < soft.mOptions.mMostQuietReservations &&
+    !soft.mReservations.Waits(aJob.mOrganisation);
   if (mayHold || IsAged(aPlan, aJob)) {
     const bool gang = aJob.mSpec.mKind == job_kind::Gang;
     TryReserve(aPlan, aJob, gang ? TasksToStart(aPlan, aJob) : 1);
--- a/oriolewalk/cell/scheduler.cc
+++ b/oriolewalk/cell/scheduler.cc
@@ -93,8 +93,8 @@
   aSoft.Refresh(aState, *slot, aNow.mNow);
   // Conservative: the lease started earlier, when the worker sent its
   // announcement.
-  aSoft.mWorkers[*slot].mHeard = aNow.mNow;
-  aSoft.mWorkers[*slot].mSeen = true;
+  aSoft.mWorkers[*slot].mLastContact = aNow.mNow;
+  aSoft.mWorkers[*slot].mHasContact = true;
   // A proposed loss stays proposed. If leases were granted again after this
   // incarnation's announcement, the loss would then record tasks as ended that
   // still run under these leases. Polls get no lease until it is resolved.
@@ -109,10 +109,10 @@
 
 // Updates family estimates and worker health from ended attempts.
 void
-Learn(soft_state& aSoft,
-      const cell_state& aState,
-      const apply_outcome& aOutcome,
-      const instant& aNow)
+LearnFromEnds(soft_state& aSoft,
+              const cell_state& aState,
+              const apply_outcome& aOutcome,
+              const instant& aNow)
 {
   for (const ended_attempt& end : aOutcome.mEnded) {
     aSoft.mBackfilled.erase(end.mTask);
@@ -211,7 +211,7 @@
   for (const worker_slot slot : aOutcome.mWorkers) {
     soft.Refresh(aState, slot, aNow.mNow);
   }
-  Learn(soft, aState, aOutcome, aNow);
+  LearnFromEnds(soft, aState, aOutcome, aNow);
   if (const auto* stopped = std::get_if<stop_task>(&aCommand);
       stopped != nullptr && !aOutcome.mRefusal &&
       stopped->mMode == stop_mode::Throttle) {
--- a/oriolewalk/cell/scheduler.h
+++ b/oriolewalk/cell/scheduler.h
@@ -35,7 +35,7 @@
 
 namespace oriolewalk::cell {
 
-// Workers that can't run a job for the same reason.
+// Workers for which the same reason explains a job's wait.
 struct worker_group
 {
   std::string mReason;
--- a/oriolewalk/cell/soft_state.cc
+++ b/oriolewalk/cell/soft_state.cc
@@ -14,8 +14,8 @@
 namespace {
 
 // Bounds the remembered requests; a cell has fewer common sizes.
-constexpr std::size_t kMostNoRoom = 32;
-constexpr double kLeastWeight = 1e-6;
+constexpr std::size_t kMaxUnplaced = 32;
+constexpr double kMinWeight = 1e-6;
 
 } // namespace
 
@@ -25,8 +25,8 @@
                         time_point aNow) const
 {
   const worker_view& view = mWorkers[aSlot];
-  return aState.Workers()[aSlot].TakesWork() && view.mSeen &&
-         !view.mLossProposed && aNow - view.mHeard <= mOptions.mQuiet &&
+  return aState.Workers()[aSlot].TakesWork() && view.mHasContact &&
+         !view.mLossProposed && aNow - view.mLastContact <= mOptions.mQuiet &&
          mHealth.Standing(aSlot, aNow) != worker_standing::Out;
 }
 
@@ -44,7 +44,7 @@
     mRacks[former.mDataCentre][former.mRack].erase(aSlot);
     mWorkers[aSlot] = {};
     mWorkers[aSlot].mId = worker.mId;
-    mWorkers[aSlot].mHeard = aNow;
+    mWorkers[aSlot].mLastContact = aNow;
     mHealth.Reset(aSlot);
   }
   worker_view& view = mWorkers[aSlot];
@@ -59,7 +59,7 @@
     return;
   }
   if (mIndex.Set(aSlot, Free(aState, aSlot), worker.mCapacity)) {
-    mNoRoom.clear();
+    mUnplaced.clear();
   }
 }
 
@@ -85,7 +85,7 @@
     const auto found = aPolicy.mWeights.find(organisations[at].mId);
     mWeights.push_back(found == aPolicy.mWeights.end()
                          ? 1.0
-                         : std::max(kLeastWeight, found->second));
+                         : std::max(kMinWeight, found->second));
   }
 }
 
@@ -108,19 +108,21 @@
 }
 
 bool
-soft_state::IsKnownToLackRoom(const no_room& aRequest) const
+soft_state::IsKnownUnplaceable(const unplaced_request& aRequest) const
 {
-  return std::ranges::any_of(
-    mNoRoom, [&](const no_room& aKnown) { return aKnown.Covers(aRequest); });
+  return std::ranges::any_of(mUnplaced, [&](const unplaced_request& aKnown) {
+    return aKnown.Covers(aRequest);
+  });
 }
 
 void
-soft_state::NoteNoRoom(const no_room& aRequest)
+soft_state::AddUnplaced(const unplaced_request& aRequest)
 {
-  std::erase_if(mNoRoom,
-                [&](const no_room& aKnown) { return aRequest.Covers(aKnown); });
-  if (mNoRoom.size() < kMostNoRoom) {
-    mNoRoom.push_back(aRequest);
+  std::erase_if(mUnplaced, [&](const unplaced_request& aKnown) {
+    return aRequest.Covers(aKnown);
+  });
+  if (mUnplaced.size() < kMaxUnplaced) {
+    mUnplaced.push_back(aRequest);
   }
 }
 
--- a/oriolewalk/cell/soft_state.h
+++ b/oriolewalk/cell/soft_state.h
@@ -55,11 +55,11 @@
   worker_id mId; // The worker in this slot; slots are reused.
   resources mInFlight;
   // Reported use above the booking; not available to other tasks.
-  resources mHidden;
-  time_point mHeard; // When the latest poll arrived.
+  resources mUnbookedUse;
+  time_point mLastContact; // When the worker last polled or registered.
   data_centre_id mDataCentre;
   rack_id mRack;
-  bool mSeen = false; // Heard since this leadership began.
+  bool mHasContact = false; // Since this leadership began.
   // The loss is proposed; a lease granted now would outlive the decision.
   bool mLossProposed = false;
 };
@@ -67,7 +67,7 @@
 // A request that has not fitted any worker since free capacity last grew. If
 // reservations of other jobs caused this, it covers only requests that are no
 // shorter, no easier to evict and no more urgent.
-struct no_room
+struct unplaced_request
 {
   resources mSize;
   bool mForAll = true;
@@ -75,7 +75,7 @@
   bool mEvictable = false;
   job_class mClass = job_class::Urgent;
 
-  [[nodiscard]] bool Covers(const no_room& aOther) const
+  [[nodiscard]] bool Covers(const unplaced_request& aOther) const
   {
     return mSize.FitsIn(aOther.mSize) &&
            (mForAll ||
@@ -108,11 +108,11 @@
 
   // A request covered by one of these needs no search. Bounds the cost of a
   // Plan on a full cell.
-  std::vector<no_room> mNoRoom;
+  std::vector<unplaced_request> mUnplaced;
 
   family_learning mLearning;
   worker_health mHealth;
-  reservation_book mBook;
+  reservation_table mReservations;
   rack_map mRacks;
   // Tasks that run on reserved capacity until the reservation needs it.
   std::unordered_set<task_id> mBackfilled;
@@ -121,7 +121,7 @@
   std::unordered_map<task_id, std::vector<worker_slot>> mFailedOn;
   // When the latest search for victims or a reservation failed; see
   // mSeekAgain.
-  std::unordered_map<job_number, time_point> mSought;
+  std::unordered_map<job_number, time_point> mFailedSearches;
   worker_slot mScanFrom = 0; // Where the next search for victims begins.
   double mRecoveryTokens = 0;
   time_point mRecoveryAt;
@@ -141,7 +141,7 @@
                                worker_slot aSlot) const
   {
     return aState.Workers()[aSlot].Free() - mWorkers[aSlot].mInFlight -
-           mWorkers[aSlot].mHidden;
+           mWorkers[aSlot].mUnbookedUse;
   }
 
   void ReadPolicy(const cell_state& aState, const cell_policy& aPolicy);
@@ -152,12 +152,12 @@
                                  organisation_slot aOrganisation,
                                  const resources& aMore) const;
 
-  [[nodiscard]] bool IsKnownToLackRoom(const no_room& aRequest) const;
-  void NoteNoRoom(const no_room& aRequest);
+  [[nodiscard]] bool IsKnownUnplaceable(const unplaced_request& aRequest) const;
+  void AddUnplaced(const unplaced_request& aRequest);
   void DropReservation(job_number aJob)
   {
-    mBook.Remove(aJob);
-    mNoRoom.clear();
+    mReservations.Remove(aJob);
+    mUnplaced.clear();
   }
   // Takes a token; returns false if no restart is allowed now.
   bool TakeRecoveryToken(time_point aNow);
--- a/oriolewalk/cell/stages.h
+++ b/oriolewalk/cell/stages.h
@@ -32,11 +32,11 @@
 bool
 PlanHousekeeping(plan_context& aPlan, const cell_policy& aPolicy);
 void
-KeepReservations(plan_context& aPlan);
+MaintainReservations(plan_context& aPlan);
 void
-KeepThrottles(plan_context& aPlan);
+LiftThrottles(plan_context& aPlan);
 void
-KeepDrains(plan_context& aPlan);
+PlanDrains(plan_context& aPlan);
 
 // Starts the longest waiting job of those beyond their class's wait bound.
 void
@@ -49,8 +49,8 @@
 enum class start_result : std::uint8_t
 {
   Started,
-  NoRoom,
-  NoQuota,
+  DoesNotFit,
+  ExceedsQuota,
   Paced, // A restart that must wait for a recovery token.
 };
 
@@ -68,7 +68,7 @@
 // or reserves capacity where it will be free first. Returns true if capacity
 // is being freed.
 bool
-MakeRoom(plan_context& aPlan, const job_record& aJob);
+FreeCapacityFor(plan_context& aPlan, const job_record& aJob);
 bool
 TryPreempt(plan_context& aPlan, const job_record& aJob, std::uint32_t aNeeded);
 bool
--- a/oriolewalk/cell/upkeep.cc
+++ b/oriolewalk/cell/upkeep.cc
@@ -27,21 +27,22 @@
 constexpr int kEscalations = 3;
 
 bool
-IsOver(const plan_context& aPlan, const reservation& aHeld)
+IsOver(const plan_context& aPlan, const reservation& aReservation)
 {
-  const job_record* job = aPlan.mState.FindJob(aHeld.mJob);
+  const job_record* job = aPlan.mState.FindJob(aReservation.mJob);
   if (job == nullptr || job->mWaiting == 0 || job->mCancelled ||
       !NextTask(aPlan, *job, 0)) {
     return true;
   }
-  const bool lost = std::ranges::any_of(aHeld.mPlaces, [&](const auto& aPlace) {
-    return !aPlan.mSoft.mIndex.Contains(aPlace.first);
-  });
-  if (aHeld.mPreempts) {
-    return lost || aPlan.mNow.mNow - aHeld.mMade >
+  const bool lost =
+    std::ranges::any_of(aReservation.mPlaces, [&](const auto& aPlace) {
+      return !aPlan.mSoft.mIndex.Contains(aPlace.first);
+    });
+  if (aReservation.mPreempts) {
+    return lost || aPlan.mNow.mNow - aReservation.mCreated >
                      aPlan.mSoft.mOptions.mEscalateAfter * kEscalations;
   }
-  return lost || aPlan.mNow.mWallMs > aHeld.mStartMs + kLateMs;
+  return lost || aPlan.mNow.mWallMs > aReservation.mStartMs + kLateMs;
 }
 
 // Escalates a checkpoint that takes too long to a stop, if the stop costs only
@@ -73,14 +74,15 @@
 }
 
 void
-KeepReservation(plan_context& aPlan, const reservation& aHeld)
+MaintainReservation(plan_context& aPlan, const reservation& aReservation)
 {
-  const bool late =
-    aPlan.mNow.mNow - aHeld.mMade >= aPlan.mSoft.mOptions.mEscalateAfter;
-  for (const auto& [slot, count] : aHeld.mPlaces) {
-    if (aHeld.mPreempts && late) {
+  const bool late = aPlan.mNow.mNow - aReservation.mCreated >=
+                    aPlan.mSoft.mOptions.mEscalateAfter;
+  for (const auto& [slot, count] : aReservation.mPlaces) {
+    if (aReservation.mPreempts && late) {
       Escalate(aPlan, slot);
-    } else if (!aHeld.mPreempts && aPlan.mNow.mWallMs >= aHeld.mStartMs) {
+    } else if (!aReservation.mPreempts &&
+               aPlan.mNow.mWallMs >= aReservation.mStartMs) {
       EndBackfill(aPlan, slot);
     }
   }
@@ -113,26 +115,26 @@
 } // namespace
 
 void
-KeepReservations(plan_context& aPlan)
+MaintainReservations(plan_context& aPlan)
 {
   std::vector<job_number> over;
-  for (const auto& [job, held] : aPlan.mSoft.mBook.All()) {
-    if (IsOver(aPlan, held)) {
+  for (const auto& [job, reserved] : aPlan.mSoft.mReservations.All()) {
+    if (IsOver(aPlan, reserved)) {
       over.push_back(job);
     } else {
-      KeepReservation(aPlan, held);
+      MaintainReservation(aPlan, reserved);
     }
   }
   for (const job_number job : over) {
     aPlan.mSoft.DropReservation(job);
   }
-  std::erase_if(aPlan.mSoft.mSought, [&](const auto& aEach) {
+  std::erase_if(aPlan.mSoft.mFailedSearches, [&](const auto& aEach) {
     return aPlan.mNow.mNow - aEach.second >= aPlan.mSoft.mOptions.mSeekAgain;
   });
 }
 
 void
-KeepThrottles(plan_context& aPlan)
+LiftThrottles(plan_context& aPlan)
 {
   soft_state& soft = aPlan.mSoft;
   std::erase_if(soft.mThrottled, [&](const task_id& aTask) {
@@ -144,7 +146,7 @@
     const job_record& job = *aPlan.mState.FindJob(id.mJob);
     const task_record& task = job.mTasks[id.mIndex];
     const resources more = job.mSpec.mEach - Booking(job.mSpec, task);
-    if (task.mThrottled && !soft.mBook.IsHeld(task.mWorker) &&
+    if (task.mThrottled && !soft.mReservations.IsReserved(task.mWorker) &&
         more.FitsIn(soft.Free(aPlan.mState, task.mWorker)) &&
         soft.Propose(proposal_kind::Resume, id)) {
       aPlan.mCommands.emplace_back(resume_task{ id, task.mAttempt });
@@ -153,7 +155,7 @@
 }
 
 void
-KeepDrains(plan_context& aPlan)
+PlanDrains(plan_context& aPlan)
 {
   for (const worker_record& worker : aPlan.mState.Workers()) {
     if (worker.mKnown && worker.mPresent && worker.mDraining) {
--- a/oriolewalk/cell/worker_index.cc
+++ b/oriolewalk/cell/worker_index.cc
@@ -20,15 +20,15 @@
 // Steps per dimension. 8 steps fill the cell to 96.0 percent, 16 to 97.9, and
 // 32 to 97.7 with a sixth fewer placements per second at 4,800 workers.
 constexpr std::int64_t kSteps = 16;
-constexpr std::int64_t kMostStep = 255;
+constexpr std::int64_t kMaxStep = 255;
 constexpr unsigned kStepBits = 8;
 // Workers examined in a bucket before the next bucket is tried.
-constexpr std::size_t kShortLook = 12;
+constexpr std::size_t kShortScanWorkers = 12;
 
 std::int64_t
 Step(std::int64_t aFree, std::int64_t aUnit)
 {
-  return std::clamp<std::int64_t>(aFree / aUnit, 0, kMostStep);
+  return std::clamp<std::int64_t>(aFree / aUnit, 0, kMaxStep);
 }
 
 std::int64_t
@@ -52,9 +52,9 @@
 resources
 worker_index::LowerBound(bucket_key aKey) const
 {
-  return { ((aKey >> kStepBits) & kMostStep) * mUnit.mMilliProcessors,
-           (aKey & kMostStep) * mUnit.mMemoryMb,
-           ((aKey >> (2 * kStepBits)) & kMostStep) * mUnit.mAccelerators };
+  return { ((aKey >> kStepBits) & kMaxStep) * mUnit.mMilliProcessors,
+           (aKey & kMaxStep) * mUnit.mMemoryMb,
+           ((aKey >> (2 * kStepBits)) & kMaxStep) * mUnit.mAccelerators };
 }
 
 resources
@@ -210,14 +210,14 @@
                             mBuckets.at((end - 1)->second),
                             aRequest,
                             aAccept,
-                            kShortLook)) {
+                            kShortScanWorkers)) {
       return found;
     }
   }
   // The short scans may have missed the only worker that fits.
   for (const auto& [score, key] : mRanked) {
     bucket& whole = mBuckets.at(key);
-    if (whole.mSlots.size() <= kShortLook) {
+    if (whole.mSlots.size() <= kShortScanWorkers) {
       continue;
     }
     if (auto found =
--- a/testing/cell/choice_test.cc
+++ b/testing/cell/choice_test.cc
@@ -1,4 +1,5 @@
-// The parts that choose: the index, what is learnt, the health of workers.
+// The components behind placement choices: the worker index, the estimates per
+// family and the health of workers.
 
 #include <catch2/catch.hpp>
 
@@ -20,7 +21,7 @@
 namespace oriolewalk::cell {
 namespace {
 
-TEST_CASE("the index finds a worker whenever one has room")
+TEST_CASE("the index finds a worker whenever one fits the request")
 {
   const packing_policy policy = GENERATE(packing_policy(shaped_fit{}),
                                          packing_policy(best_fit{}),
@@ -75,13 +76,13 @@
   learning.NoteRun(spec, 55'000);
   CHECK(learning.ExpectedMs(spec) == 60'000);
   learning.NoteUsage(spec, { 500, 2000, 0 });
-  CHECK(learning.RoomFor(spec) == resources{ 1000, 2000, 0 });
+  CHECK(learning.CapacityToSearch(spec) == resources{ 1000, 2000, 0 });
   spec.mFamily = "other";
   CHECK(learning.ExpectedMs(spec) == 10'000);
-  CHECK(learning.RoomFor(spec) == spec.mEach);
+  CHECK(learning.CapacityToSearch(spec) == spec.mEach);
 }
 
-TEST_CASE("failures that happen everywhere are held against no worker")
+TEST_CASE("failures on all workers count against no worker")
 {
   worker_health health;
   health.SetWorkers(10);
@@ -117,16 +118,16 @@
   CHECK(health.Standing(0, later + seconds(121)) == worker_standing::Good);
 }
 
-TEST_CASE("reported use above the booking is offered to nobody")
+TEST_CASE("reported use above the booking is not given to other tasks")
 {
-  // A task uses 3 GB of memory and declares 1. What it takes is not given to
-  // a neighbour, though the booking says that it is free.
+  // A task declares 1 GB of memory and uses 3 GB. The excess must not be given
+  // to another task, although the bookings show it as free.
   fake_cell cell;
   cell.AddWorker("w0", { 8000, 4096, 0 });
   cell.Run(1000);
-  const auto liar = cell.Submit(
+  const auto underdeclared = cell.Submit(
     MakeSpec("liar", job_class::Normal, 1, { 1000, 1024, 0 }, 10'000));
-  cell.mUsesMb[liar] = 3072;
+  cell.mUsesMb[underdeclared] = 3072;
   cell.Run(2000);
   const auto neighbour = cell.Submit(
     MakeSpec("taksa", job_class::Normal, 1, { 1000, 2048, 0 }, 1000));
@@ -149,7 +150,7 @@
   worker.mEnded.clear();
   worker.mAnnounce.mBoot = boot_id("2");
   worker.mAnnounce.mCapacity = { 3000, 8192, 0 };
-  cell.Run(40'000); // Run() audits the bookings in every step.
+  cell.Run(40'000); // Run() checks the bookings in every step.
   CHECK(cell.State(job) == job_state::Succeeded);
 }
 
--- a/testing/cell/scenario_test.cc
+++ b/testing/cell/scenario_test.cc
@@ -1,4 +1,4 @@
-// Load patterns, judged by what the submitters receive.
+// Load patterns, checked by the results that the submitters see.
 
 #include <catch2/catch.hpp>
 
@@ -21,7 +21,7 @@
 constexpr resources kWorker{ 8000, 16'384, 0 };
 constexpr std::int64_t kUrgentBoundMs = 4200;
 
-// aCount workers, three to a rack, racks over two data centres.
+// Adds aCount workers, three per rack, with racks in two data centres.
 void
 AddWorkers(fake_cell& aCell, int aCount)
 {
@@ -37,9 +37,9 @@
 
 TEST_CASE("a live peak starts in time on a cell that a night batch has filled")
 {
-  // Heavy settlement runs fill every worker when fee checks come in. Each
-  // check starts within 4.2 s: batch work is checkpointed, or stopped where
-  // it is repeatable, and still ends as succeeded afterwards.
+  // Heavy settlement runs fill every worker when fee checks arrive. Each check
+  // must start within 4.2 s: batch tasks are checkpointed, or stopped if they
+  // are repeatable, and must still succeed afterwards.
   const bool checkpoints = GENERATE(true, false);
   fake_cell cell;
   AddWorkers(cell, 6);
@@ -77,7 +77,7 @@
   const auto check = cell.Submit(
     MakeSpec("tamarin", job_class::Urgent, 1, { 2000, 1024, 0 }, 1000));
   cell.Run(4000);
-  // It is throttled instead, and goes on at full size afterwards.
+  // It is throttled instead, and returns to its full size afterwards.
   CHECK(cell.mFirstStartMs.contains({ check, 0 }));
   cell.Run(10'000);
   CHECK(cell.mState.FindWorker(worker_id("w0"))->mBooked.mMilliProcessors ==
@@ -89,9 +89,9 @@
 
 TEST_CASE("a gang starts among small jobs that never stop coming")
 {
-  // Small tasks fill each hole as it opens, so that six whole workers would
-  // never be free at once. Places are held for the gang; two gangs at once
-  // both run, one after the other.
+  // Small tasks fill any free capacity at once, so whole workers would never
+  // be free together without reservations for the gang. Two gangs submitted at
+  // once must both run, one after the other.
   fake_cell cell;
   AddWorkers(cell, 6);
   job_spec gang = MakeSpec("taksa", job_class::Normal, 5, kWorker, 5000);
@@ -115,8 +115,8 @@
 
 TEST_CASE("a hot organisation doesn't hold up the others")
 {
-  // One organisation submits far more than the cell can do; another one's
-  // job comes later and yet starts as soon as any task ends.
+  // One organisation submits far more than the cell can run. A later job of
+  // another organisation must still start as soon as any task ends.
   fake_cell cell;
   AddWorkers(cell, 3);
   for (int at = 0; at < 50; ++at) {
@@ -133,7 +133,7 @@
   }
 }
 
-TEST_CASE("a paid place gets its multiple of the cell")
+TEST_CASE("an organisation's share of the cell follows its weight")
 {
   fake_cell cell;
   cell.mPolicy.mVersion = 1;
@@ -152,8 +152,9 @@
 
 TEST_CASE("a worker that fails all it starts is taken out")
 {
-  // It is the emptiest worker and draws all new work, which fails there at
-  // once. After a few starts it gets none; every job still succeeds.
+  // The failing worker is the emptiest one and attracts all new tasks, which
+  // fail there at once. After a few starts it must get no more tasks, and
+  // every job must still succeed.
   fake_cell cell;
   AddWorkers(cell, 6);
   cell.mWorkers["w2"].mFailsAll = true;
@@ -175,7 +176,7 @@
   CHECK(failed >= 1);
 }
 
-TEST_CASE("a job that fails everywhere condemns no worker")
+TEST_CASE("a job that fails everywhere takes no worker out of service")
 {
   fake_cell cell;
   AddWorkers(cell, 6);
@@ -192,10 +193,10 @@
   CHECK(cell.State(after) == job_state::Succeeded);
 }
 
-TEST_CASE("a liar's backfill is ended when the held place is due")
+TEST_CASE("a backfilled task that overruns is ended when a reservation is due")
 {
-  // A job that declares 5 s and runs for minutes slips into the time before
-  // a large job's start. The large job starts when it was promised to.
+  // A job that declares 5 s but runs for minutes backfills the reservation of
+  // a large job. The large job must still start when its reservation is due.
   fake_cell cell;
   AddWorkers(cell, 1);
   job_spec first =
@@ -206,21 +207,21 @@
   const auto large =
     cell.Submit(MakeSpec("tamarin", job_class::Normal, 1, kWorker, 1000));
   cell.Run(1000);
-  const auto liar = cell.Submit(
+  const auto overrunning = cell.Submit(
     MakeSpec("liar", job_class::Normal, 1, { 2000, 1024, 0 }, 5000));
-  cell.mRunsMs[liar] = 200'000;
+  cell.mRunsMs[overrunning] = 200'000;
   cell.Run(5000);
-  CHECK(cell.mFirstStartMs.contains({ liar, 0 }));
+  CHECK(cell.mFirstStartMs.contains({ overrunning, 0 }));
   cell.Run(20'000);
   REQUIRE(cell.mFirstStartMs.contains({ large, 0 }));
   CHECK(cell.mFirstStartMs[{ large, 0 }] <= 24'000);
 }
 
-TEST_CASE("a lost rack is one event and comes back elsewhere")
+TEST_CASE("a lost rack is declared lost at once and its tasks run elsewhere")
 {
-  // Three workers of a rack go quiet at once. One command declares them lost;
-  // replicas and repeatable work run again elsewhere, what must not run twice
-  // ends as unknown.
+  // Three workers of a rack go silent at once. One command declares them lost.
+  // Replicas and repeatable tasks run again elsewhere; tasks that must not run
+  // twice end as unknown.
   fake_cell cell;
   AddWorkers(cell, 9);
   job_spec service =
--- a/testing/cell/scheduler_test.cc
+++ b/testing/cell/scheduler_test.cc
@@ -33,8 +33,8 @@
 
 TEST_CASE("work of a lost worker runs again only after the lease lapsed")
 {
-  // A worker is cut off and goes on running until its lease ends. The caller
-  // sees its repeatable task move, never twice at the same moment.
+  // A disconnected worker runs its tasks until its lease expires. The
+  // repeatable task must move, but two copies must never run at once.
   fake_cell cell;
   cell.AddWorker("w0", { 4000, 4096, 0 });
   cell.Run(1000);
@@ -68,8 +68,8 @@
 
 TEST_CASE("no lease is given while a worker's loss is proposed")
 {
-  // The worker comes back when its loss is in the log, not applied yet. A
-  // lease now would let it go on with tasks that are about to be re-placed.
+  // The worker returns when its loss is in the log but not applied yet. A
+  // lease granted now would let it run tasks that are about to be rescheduled.
   fake_cell cell;
   cell.AddWorker("w0", { 4000, 4096, 0 });
   cell.Run(1000);
@@ -79,19 +79,19 @@
   REQUIRE(commands.size() == 1);
   REQUIRE(std::holds_alternative<workers_lost>(commands.front()));
   const worker_poll poll{ boot_id("1"), {}, {} };
-  const auto ask = [&] {
+  const auto sendPoll = [&] {
     return cell.mScheduler.Poll(cell.mState, worker_id("w0"), poll, later);
   };
-  CHECK(ask().mAnnounceAgain);
-  CHECK(ask().mLease == milliseconds(0));
+  CHECK(sendPoll().mAnnounceAgain);
+  CHECK(sendPoll().mLease == milliseconds(0));
   cell.mScheduler.OnDropped(cell.mState, commands.front(), later);
-  CHECK_FALSE(ask().mAnnounceAgain);
+  CHECK_FALSE(sendPoll().mAnnounceAgain);
 }
 
 TEST_CASE("a cancelled task that its worker doesn't show is stopped there")
 {
-  // The answer with the start was lost, then the job was cancelled: the worker
-  // is told to stop, never to start, so that the cancel comes to an end.
+  // The reply with the start was lost, then the job was cancelled. The worker
+  // must get a stop rather than a start, so that the cancellation completes.
   fake_cell cell;
   cell.AddWorker("w0", { 4000, 4096, 0 });
   cell.Run(1000);
