--- a/oriolewalk/cell/health.cc
+++ b/oriolewalk/cell/health.cc
@@ -60,10 +60,10 @@
 }
 
 void
-worker_health::Note(worker_slot aSlot,
-                    const std::string& aFamily,
-                    bool aFailed,
-                    time_point aNow)
+worker_health::OnResult(worker_slot aSlot,
+                        const std::string& aFamily,
+                        bool aFailed,
+                        time_point aNow)
 {
   counts& family = mFamilies[aFamily];
   family.mEnded += 1;
--- a/oriolewalk/cell/health.h
+++ b/oriolewalk/cell/health.h
@@ -2,8 +2,8 @@
 
 // Detects workers on which tasks fail that succeed on other workers.
 //
-//   health.Note(slot, "taksa/settlement", true, now);
-//   if (health.IsOut(slot, now)) { ... }
+//   health.OnResult(slot, "taksa/settlement", true, now);
+//   if (health.Standing(slot, now) == worker_standing::Out) { ... }
 //
 // A worker on which every task fails is soon the emptiest one and attracts ever
 // more work. A worker is taken out of service when tasks fail on it whose
@@ -34,10 +34,10 @@
 {
 public:
   // Records the result of an attempt; stops and losses are not results.
-  void Note(worker_slot aSlot,
-            const std::string& aFamily,
-            bool aFailed,
-            time_point aNow);
+  void OnResult(worker_slot aSlot,
+                const std::string& aFamily,
+                bool aFailed,
+                time_point aNow);
   // Must be called when the slot is reused for another worker.
   void Reset(worker_slot aSlot);
   // At most a fifth of aWorkers are out at once, or one if there are three or
--- a/oriolewalk/cell/learning.cc
+++ b/oriolewalk/cell/learning.cc
@@ -76,7 +76,7 @@
 }
 
 void
-family_learning::NoteRun(const job_spec& aSpec, std::int64_t aRanMs)
+family_learning::OnRunEnd(const job_spec& aSpec, std::int64_t aRanMs)
 {
   if (family* known = Find(aSpec)) {
     known->mRunMs.at(known->mCount++ % kRuns) = aRanMs;
@@ -84,7 +84,7 @@
 }
 
 void
-family_learning::NoteUsage(const job_spec& aSpec, const resources& aUsage)
+family_learning::OnUsage(const job_spec& aSpec, const resources& aUsage)
 {
   const bool above = aUsage.mMilliProcessors > aSpec.mEach.mMilliProcessors ||
                      aUsage.mMemoryMb > aSpec.mEach.mMemoryMb;
--- a/oriolewalk/cell/learning.h
+++ b/oriolewalk/cell/learning.h
@@ -3,7 +3,7 @@
 // Estimates the resources and run time of a job family from earlier runs.
 //
 //   family_learning learning;
-//   learning.NoteRun("taksa/settlement", declaredMs, ranMs);
+//   learning.OnRunEnd(spec, ranMs);
 //   learning.ExpectedMs(spec);
 //
 // Declared sizes and run times are often far off. The estimates influence
@@ -25,8 +25,8 @@
 class family_learning
 {
 public:
-  void NoteRun(const job_spec& aSpec, std::int64_t aRanMs);
-  void NoteUsage(const job_spec& aSpec, const resources& aUsage);
+  void OnRunEnd(const job_spec& aSpec, std::int64_t aRanMs);
+  void OnUsage(const job_spec& aSpec, const resources& aUsage);
 
   // Returns the upper quartile of the latest runs, or the declared time if
   // there are fewer than three. Used for reservations and backfilling.
--- a/oriolewalk/cell/poll.cc
+++ b/oriolewalk/cell/poll.cc
@@ -102,7 +102,7 @@
       return;
     }
     mShown.emplace(aRunning.mTask, aRunning.mAttempt);
-    NoteUsage(aRunning, *task);
+    OnUsage(aRunning, *task);
     switch (task->mStop) {
       case stop_mode::Stop:
         Command(worker_command_kind::Stop, aRunning.mTask, aRunning.mAttempt);
@@ -119,10 +119,10 @@
 
   // Use above the booking is withheld from other tasks; use below it has no
   // effect.
-  void NoteUsage(const running_task& aRunning, const task_record& aTask)
+  void OnUsage(const running_task& aRunning, const task_record& aTask)
   {
     const job_spec& spec = mState.FindJob(aRunning.mTask.mJob)->mSpec;
-    mSoft.mLearning.NoteUsage(spec, aRunning.mUsage);
+    mSoft.mLearning.OnUsage(spec, aRunning.mUsage);
     const resources booking = Booking(spec, aTask);
     mUnbookedUse += Largest(aRunning.mUsage, booking) - booking;
   }
--- a/oriolewalk/cell/reservations.h
+++ b/oriolewalk/cell/reservations.h
@@ -24,8 +24,7 @@
 {
   job_number mJob;
   organisation_slot mOrganisation = 0;
-  job_class mClass =
-    job_class::Normal; // Also urgent for jobs beyond their wait bound.
+  job_class mClass = job_class::Normal; // Urgent also for aged jobs.
   resources mEach;
   std::map<worker_slot, std::uint32_t> mPlaces;
   // When the capacity is expected to be free (wall clock); other tasks may run
--- a/oriolewalk/cell/scheduler.cc
+++ b/oriolewalk/cell/scheduler.cc
@@ -123,9 +123,9 @@
       continue;
     }
     aSoft.mHealth.SetWorkers(aState.Workers().size());
-    aSoft.mHealth.Note(end.mWorker, HealthKey(*job), failed, aNow.mNow);
+    aSoft.mHealth.OnResult(end.mWorker, HealthKey(*job), failed, aNow.mNow);
     if (succeeded) {
-      aSoft.mLearning.NoteRun(job->mSpec, end.mRanMs);
+      aSoft.mLearning.OnRunEnd(job->mSpec, end.mRanMs);
     }
     const bool again = failed && !IsFinal(job->mTasks[end.mTask.mIndex].mState);
     if (again) {
--- a/oriolewalk/cell/worker_index.h
+++ b/oriolewalk/cell/worker_index.h
@@ -106,8 +106,7 @@
   resources mLargest;
   std::vector<entry> mEntries; // By slot.
   std::map<bucket_key, bucket> mBuckets;
-  std::vector<std::pair<double, bucket_key>>
-    mRanked; // Kept to reuse its memory.
+  std::vector<std::pair<double, bucket_key>> mRanked; // Reuses its memory.
 };
 
 } // namespace oriolewalk::cell
--- a/testing/cell/choice_test.cc
+++ b/testing/cell/choice_test.cc
@@ -70,12 +70,12 @@
   family_learning learning;
   job_spec spec =
     MakeSpec("taksa", job_class::Heavy, 1, { 1000, 1000, 0 }, 10'000);
-  learning.NoteRun(spec, 60'000);
-  learning.NoteRun(spec, 50'000);
+  learning.OnRunEnd(spec, 60'000);
+  learning.OnRunEnd(spec, 50'000);
   CHECK(learning.ExpectedMs(spec) == 10'000);
-  learning.NoteRun(spec, 55'000);
+  learning.OnRunEnd(spec, 55'000);
   CHECK(learning.ExpectedMs(spec) == 60'000);
-  learning.NoteUsage(spec, { 500, 2000, 0 });
+  learning.OnUsage(spec, { 500, 2000, 0 });
   CHECK(learning.CapacityToSearch(spec) == resources{ 1000, 2000, 0 });
   spec.mFamily = "other";
   CHECK(learning.ExpectedMs(spec) == 10'000);
@@ -89,7 +89,7 @@
   const time_point now;
   for (worker_slot slot = 0; slot < 10; ++slot) {
     for (int at = 0; at < 3; ++at) {
-      health.Note(slot, "broken", true, now);
+      health.OnResult(slot, "broken", true, now);
     }
   }
   for (worker_slot slot = 0; slot < 10; ++slot) {
@@ -103,18 +103,18 @@
   health.SetWorkers(10);
   const time_point now;
   for (worker_slot slot = 1; slot < 6; ++slot) {
-    health.Note(slot, "good", false, now);
+    health.OnResult(slot, "good", false, now);
   }
   for (int at = 0; at < 3; ++at) {
     CHECK(health.Standing(0, now) == worker_standing::Good);
-    health.Note(0, "good", true, now);
+    health.OnResult(0, "good", true, now);
   }
   CHECK(health.Standing(0, now) == worker_standing::Out);
   const time_point later = now + seconds(61);
   CHECK(health.Standing(0, later) == worker_standing::Probing);
-  health.Note(0, "good", true, later);
+  health.OnResult(0, "good", true, later);
   CHECK(health.Standing(0, later + seconds(61)) == worker_standing::Out);
-  health.Note(0, "good", false, later + seconds(121));
+  health.OnResult(0, "good", false, later + seconds(121));
   CHECK(health.Standing(0, later + seconds(121)) == worker_standing::Good);
 }
 
