--- a/oriolewalk/cell/learning.cc
+++ b/oriolewalk/cell/learning.cc
@@ -12,13 +12,13 @@
 namespace oriolewalk::cell {
 namespace {
 
-constexpr std::size_t kMostFamilies = 20'000;
-constexpr std::size_t kLeastRuns = 3;
-// A family is never thought to be larger than four times its word: a broken
-// usage report must not keep it from ever finding a place.
-constexpr double kMostRatio = 4.0;
-// Each report moves a peak back by a hundredth of what is above the report.
-constexpr double kForget = 0.01;
+constexpr std::size_t kMaxFamilies = 20'000;
+constexpr std::size_t kMinRuns = 3;
+// The estimate is at most four times the declared size: a broken usage report
+// must not make a family unplaceable.
+constexpr double kMaxRatio = 4.0;
+// Each report lowers the peak by a hundredth of its excess over the report.
+constexpr double kPeakDecay = 0.01;
 
 double
 NewPeak(double aPeak, std::int64_t aUsed, std::int64_t aDeclared)
@@ -29,14 +29,14 @@
   const double ratio =
     std::clamp(static_cast<double>(aUsed) / static_cast<double>(aDeclared),
                1.0,
-               kMostRatio);
-  return ratio > aPeak ? ratio : aPeak + (ratio - aPeak) * kForget;
+               kMaxRatio);
+  return ratio > aPeak ? ratio : aPeak + (ratio - aPeak) * kPeakDecay;
 }
 
 std::int64_t
 Times(std::int64_t aDeclared, double aRatio)
 {
-  // Reports just above the declared size are noise of the measurement.
+  // Reports just above the declared size are measurement noise.
   constexpr double kNoise = 1.05;
   return aRatio <= kNoise
            ? aDeclared
@@ -62,7 +62,7 @@
   if (found != mFamilies.end()) {
     return &found->second;
   }
-  return mFamilies.size() < kMostFamilies ? &mFamilies[key] : nullptr;
+  return mFamilies.size() < kMaxFamilies ? &mFamilies[key] : nullptr;
 }
 
 const family_learning::family*
@@ -76,7 +76,7 @@
 }
 
 void
-family_learning::NoteRun(const job_spec& aSpec, std::int64_t aRanMs)
+family_learning::OnRunEnd(const job_spec& aSpec, std::int64_t aRanMs)
 {
   if (family* known = Find(aSpec)) {
     known->mRunMs.at(known->mCount++ % kRuns) = aRanMs;
@@ -84,7 +84,7 @@
 }
 
 void
-family_learning::NoteUsage(const job_spec& aSpec, const resources& aUsage)
+family_learning::OnUsage(const job_spec& aSpec, const resources& aUsage)
 {
   const bool above = aUsage.mMilliProcessors > aSpec.mEach.mMilliProcessors ||
                      aUsage.mMemoryMb > aSpec.mEach.mMemoryMb;
@@ -104,7 +104,7 @@
 family_learning::ExpectedMs(const job_spec& aSpec) const
 {
   const family* known = Find(aSpec);
-  if (known == nullptr || known->mCount < kLeastRuns) {
+  if (known == nullptr || known->mCount < kMinRuns) {
     return aSpec.mExpectedMs;
   }
   const std::size_t count = std::min(known->mCount, kRuns);
@@ -117,7 +117,7 @@
 }
 
 resources
-family_learning::RoomFor(const job_spec& aSpec) const
+family_learning::CapacityToSearch(const job_spec& aSpec) const
 {
   const family* known = Find(aSpec);
   if (known == nullptr) {
--- a/oriolewalk/cell/poll.cc
+++ b/oriolewalk/cell/poll.cc
@@ -1,4 +1,5 @@
-// A worker's poll: the lease, what it is told, what its report changes.
+// Handles a worker's poll: grants the lease, sends commands and processes the
+// worker's report.
 
 #include <algorithm>
 #include <cstdint>
@@ -21,16 +22,16 @@
 namespace oriolewalk::cell {
 namespace {
 
-// Answers one poll. What it commands is read off the committed state each
-// time, so that a lost answer or a new leader loses no command.
-class poll_answer
+// Builds the reply to one poll. Commands are derived from the committed state
+// each time, so no command is lost with a reply or with a change of leader.
+class reply_builder
 {
 public:
-  poll_answer(soft_state& aSoft,
-              const cell_state& aState,
-              worker_slot aSlot,
-              const worker_poll& aPoll,
-              time_point aNow)
+  reply_builder(soft_state& aSoft,
+                const cell_state& aState,
+                worker_slot aSlot,
+                const worker_poll& aPoll,
+                time_point aNow)
     : mSoft(aSoft)
     , mState(aState)
     , mSlot(aSlot)
@@ -44,13 +45,13 @@
   {
     mReply.mLease = mSoft.mOptions.mLease;
     for (const reported_end& end : mPoll.mEnded) {
-      TakeEnd(end);
+      OnEnd(end);
     }
     for (const running_task& running : mPoll.mRunning) {
-      TakeRunning(running);
+      OnRunning(running);
     }
-    if (mHidden != mSoft.mWorkers[mSlot].mHidden) {
-      mSoft.mWorkers[mSlot].mHidden = mHidden;
+    if (mUnbookedUse != mSoft.mWorkers[mSlot].mUnbookedUse) {
+      mSoft.mWorkers[mSlot].mUnbookedUse = mUnbookedUse;
       mSoft.Refresh(mState, mSlot, mNow);
     }
     for (const task_id& task : mWorker.mTasks) {
@@ -79,10 +80,10 @@
     mReply.mCommands.push_back({ aKind, aTask, aAttempt, {}, 0 });
   }
 
-  void TakeEnd(const reported_end& aEnd)
+  void OnEnd(const reported_end& aEnd)
   {
     if (Placed(aEnd.mTask, aEnd.mAttempt) == nullptr) {
-      // Recorded, or overtaken by a loss: nothing waits for it any more.
+      // The end is recorded or superseded by a loss, so the worker may drop it.
       Command(worker_command_kind::Forget, aEnd.mTask, aEnd.mAttempt);
       return;
     }
@@ -93,7 +94,7 @@
     }
   }
 
-  void TakeRunning(const running_task& aRunning)
+  void OnRunning(const running_task& aRunning)
   {
     const task_record* task = Placed(aRunning.mTask, aRunning.mAttempt);
     if (task == nullptr) {
@@ -101,7 +102,7 @@
       return;
     }
     mShown.emplace(aRunning.mTask, aRunning.mAttempt);
-    NoteUsage(aRunning, *task);
+    OnUsage(aRunning, *task);
     switch (task->mStop) {
       case stop_mode::Stop:
         Command(worker_command_kind::Stop, aRunning.mTask, aRunning.mAttempt);
@@ -112,20 +113,21 @@
         return;
       case stop_mode::None:
       case stop_mode::Throttle:
-        KeepLimit(aRunning, *task);
+        EnforceLimit(aRunning, *task);
     }
   }
 
-  // Use above the booking is offered to nobody; use below it changes nothing.
-  void NoteUsage(const running_task& aRunning, const task_record& aTask)
+  // Use above the booking is withheld from other tasks; use below it has no
+  // effect.
+  void OnUsage(const running_task& aRunning, const task_record& aTask)
   {
     const job_spec& spec = mState.FindJob(aRunning.mTask.mJob)->mSpec;
-    mSoft.mLearning.NoteUsage(spec, aRunning.mUsage);
+    mSoft.mLearning.OnUsage(spec, aRunning.mUsage);
     const resources booking = Booking(spec, aTask);
-    mHidden += Largest(aRunning.mUsage, booking) - booking;
+    mUnbookedUse += Largest(aRunning.mUsage, booking) - booking;
   }
 
-  void KeepLimit(const running_task& aRunning, const task_record& aTask)
+  void EnforceLimit(const running_task& aRunning, const task_record& aTask)
   {
     const job_spec& spec = mState.FindJob(aRunning.mTask.mJob)->mSpec;
     const std::int64_t whole = spec.mEach.mMilliProcessors;
@@ -143,13 +145,13 @@
     }
   }
 
-  // The worker shows nothing of a task that is placed on it.
+  // Handles a task that is placed on the worker but missing from its report.
   void StartOrStop(const task_id& aTask, const task_record& aRecord)
   {
     if (aRecord.mStop == stop_mode::Stop ||
         aRecord.mStop == stop_mode::Checkpoint) {
-      // The start may have been lost or be late: the worker answers a stop
-      // for what it doesn't know with `stopped`, and will never start it.
+      // The start may have been lost or delayed. The worker replies `stopped`
+      // to a stop for an unknown task, and never starts that task.
       Command(worker_command_kind::Stop, aTask, aRecord.mAttempt);
       return;
     }
@@ -169,7 +171,7 @@
   const worker_record& mWorker;
   std::unordered_map<task_id, std::uint32_t> mShown;
   worker_reply mReply;
-  resources mHidden;
+  resources mUnbookedUse;
 };
 
 } // namespace
@@ -189,12 +191,12 @@
     return reply;
   }
   worker_view& view = mSoft->mWorkers[slot];
-  view.mHeard = std::max(view.mHeard, aNow.mNow);
-  view.mSeen = true;
+  view.mLastContact = std::max(view.mLastContact, aNow.mNow);
+  view.mHasContact = true;
   if (!mSoft->mIndex.Contains(slot)) {
     mSoft->Refresh(aState, slot, aNow.mNow);
   }
-  return poll_answer(*mSoft, aState, slot, aPoll, aNow.mNow).Take();
+  return reply_builder(*mSoft, aState, slot, aPoll, aNow.mNow).Take();
 }
 
 } // namespace oriolewalk::cell
--- a/oriolewalk/cell/upkeep.cc
+++ b/oriolewalk/cell/upkeep.cc
@@ -1,5 +1,5 @@
-// What is due by time: reservations that lapse or overrun, throttles that are
-// taken back, workers that drain.
+// Periodic upkeep: expired or overdue reservations, throttles to lift, and
+// draining workers.
 
 #include <algorithm>
 #include <cstdint>
@@ -19,32 +19,34 @@
 namespace oriolewalk::cell {
 namespace {
 
-// A reservation whose room is this late is made anew, where room comes first
-// by now.
+// A reservation whose capacity is this late is made again, where capacity is
+// now expected first.
 constexpr std::int64_t kLateMs = 10'000;
-// Made room that isn't there after this many escalations is sought elsewhere.
+// If preemption hasn't freed the capacity after this many escalations, it is
+// searched for elsewhere.
 constexpr int kEscalations = 3;
 
 bool
-IsOver(const plan_context& aPlan, const reservation& aHeld)
+IsOver(const plan_context& aPlan, const reservation& aReservation)
 {
-  const job_record* job = aPlan.mState.FindJob(aHeld.mJob);
+  const job_record* job = aPlan.mState.FindJob(aReservation.mJob);
   if (job == nullptr || job->mWaiting == 0 || job->mCancelled ||
       !NextTask(aPlan, *job, 0)) {
     return true;
   }
-  const bool lost = std::ranges::any_of(aHeld.mPlaces, [&](const auto& aPlace) {
-    return !aPlan.mSoft.mIndex.Contains(aPlace.first);
-  });
-  if (aHeld.mPreempts) {
-    return lost || aPlan.mNow.mNow - aHeld.mMade >
+  const bool lost =
+    std::ranges::any_of(aReservation.mPlaces, [&](const auto& aPlace) {
+      return !aPlan.mSoft.mIndex.Contains(aPlace.first);
+    });
+  if (aReservation.mPreempts) {
+    return lost || aPlan.mNow.mNow - aReservation.mCreated >
                      aPlan.mSoft.mOptions.mEscalateAfter * kEscalations;
   }
-  return lost || aPlan.mNow.mWallMs > aHeld.mStartMs + kLateMs;
+  return lost || aPlan.mNow.mWallMs > aReservation.mStartMs + kLateMs;
 }
 
-// A checkpoint that takes too long becomes a stop, where nothing but time is
-// lost by it.
+// Escalates a checkpoint that takes too long to a stop, if the stop costs only
+// time.
 void
 Escalate(plan_context& aPlan, worker_slot aSlot)
 {
@@ -58,8 +60,8 @@
   }
 }
 
-// Who backfilled a place that is due now goes: the reservation isn't late for
-// a task that took longer than it said.
+// Ends tasks that backfilled a reservation that is now due. A task that runs
+// longer than declared must not delay the reservation.
 void
 EndBackfill(plan_context& aPlan, worker_slot aSlot)
 {
@@ -72,22 +74,23 @@
 }
 
 void
-KeepReservation(plan_context& aPlan, const reservation& aHeld)
+MaintainReservation(plan_context& aPlan, const reservation& aReservation)
 {
-  const bool late =
-    aPlan.mNow.mNow - aHeld.mMade >= aPlan.mSoft.mOptions.mEscalateAfter;
-  for (const auto& [slot, count] : aHeld.mPlaces) {
-    if (aHeld.mPreempts && late) {
+  const bool late = aPlan.mNow.mNow - aReservation.mCreated >=
+                    aPlan.mSoft.mOptions.mEscalateAfter;
+  for (const auto& [slot, count] : aReservation.mPlaces) {
+    if (aReservation.mPreempts && late) {
       Escalate(aPlan, slot);
-    } else if (!aHeld.mPreempts && aPlan.mNow.mWallMs >= aHeld.mStartMs) {
+    } else if (!aReservation.mPreempts &&
+               aPlan.mNow.mWallMs >= aReservation.mStartMs) {
       EndBackfill(aPlan, slot);
     }
   }
 }
 
-// Replicas move one at a time, each when all others of its service run; work
-// with checkpoints goes on elsewhere; the rest may finish until the deadline.
-// What must not run twice is never stopped.
+// Replicas move one at a time, each when all others of its service run. Tasks
+// with checkpoints continue elsewhere; the others may finish until the
+// deadline. Tasks that must not run twice are never stopped.
 void
 DrainTask(plan_context& aPlan, const worker_record& aWorker, const task_id& aId)
 {
@@ -112,26 +115,26 @@
 } // namespace
 
 void
-KeepReservations(plan_context& aPlan)
+MaintainReservations(plan_context& aPlan)
 {
   std::vector<job_number> over;
-  for (const auto& [job, held] : aPlan.mSoft.mBook.All()) {
-    if (IsOver(aPlan, held)) {
+  for (const auto& [job, reserved] : aPlan.mSoft.mReservations.All()) {
+    if (IsOver(aPlan, reserved)) {
       over.push_back(job);
     } else {
-      KeepReservation(aPlan, held);
+      MaintainReservation(aPlan, reserved);
     }
   }
   for (const job_number job : over) {
     aPlan.mSoft.DropReservation(job);
   }
-  std::erase_if(aPlan.mSoft.mSought, [&](const auto& aEach) {
+  std::erase_if(aPlan.mSoft.mFailedSearches, [&](const auto& aEach) {
     return aPlan.mNow.mNow - aEach.second >= aPlan.mSoft.mOptions.mSeekAgain;
   });
 }
 
 void
-KeepThrottles(plan_context& aPlan)
+LiftThrottles(plan_context& aPlan)
 {
   soft_state& soft = aPlan.mSoft;
   std::erase_if(soft.mThrottled, [&](const task_id& aTask) {
@@ -143,7 +146,7 @@
     const job_record& job = *aPlan.mState.FindJob(id.mJob);
     const task_record& task = job.mTasks[id.mIndex];
     const resources more = job.mSpec.mEach - Booking(job.mSpec, task);
-    if (task.mThrottled && !soft.mBook.IsHeld(task.mWorker) &&
+    if (task.mThrottled && !soft.mReservations.IsReserved(task.mWorker) &&
         more.FitsIn(soft.Free(aPlan.mState, task.mWorker)) &&
         soft.Propose(proposal_kind::Resume, id)) {
       aPlan.mCommands.emplace_back(resume_task{ id, task.mAttempt });
@@ -152,7 +155,7 @@
 }
 
 void
-KeepDrains(plan_context& aPlan)
+PlanDrains(plan_context& aPlan)
 {
   for (const worker_record& worker : aPlan.mState.Workers()) {
     if (worker.mKnown && worker.mPresent && worker.mDraining) {
