--- a/oriolewalk/control/operator_json.cc
+++ b/oriolewalk/control/operator_json.cc
@@ -323,10 +323,10 @@
   const auto kind = cell::ParseKind(fields.Text("kind", "batch"));
   const auto jobClass = ParseWorkClass(fields.Text("class", "normal"));
   if (!kind) {
-    fields.Complain("kind", "must be batch, service or gang");
+    fields.AddProblem("kind", "must be batch, service or gang");
   }
   if (!jobClass) {
-    fields.Complain("class", "must be urgent, normal or heavy");
+    fields.AddProblem("class", "must be urgent, normal or heavy");
   }
   spec.mKind = kind.value_or(cell::job_kind::Batch);
   spec.mClass = jobClass.value_or(cell::job_class::Normal);
@@ -339,7 +339,7 @@
   spec.mRepeatable = fields.Flag("repeatable");
   spec.mCheckpointable = fields.Flag("checkpointable");
   spec.mFamily = fields.Text("family", "");
-  fields.RefuseOthers();
+  fields.RejectUnknownFields();
   if (const auto& problem = fields.Problem()) {
     return Fail(*problem);
   }
@@ -363,7 +363,7 @@
   }
   protocol::json_fields fields(*body, kStep);
   const std::int64_t deadline = fields.Number("deadline_ms", 0, kMostMs, 0);
-  fields.RefuseOthers();
+  fields.RejectUnknownFields();
   if (const auto& problem = fields.Problem()) {
     return Fail(*problem);
   }
@@ -389,9 +389,10 @@
   change.mOld = static_cast<std::uint64_t>(fields.Number("old", 0, kMostId, 0));
   change.mAddress = fields.Text("address", "");
   if (std::ranges::find(kOps, change.mOp) == kOps.end()) {
-    fields.Complain("op", "must be add, promote, remove, replace or transfer");
+    fields.AddProblem("op",
+                      "must be add, promote, remove, replace or transfer");
   }
-  fields.RefuseOthers();
+  fields.RejectUnknownFields();
   if (const auto& problem = fields.Problem()) {
     return Fail(*problem);
   }
--- a/oriolewalk/control/worker_desk.cc
+++ b/oriolewalk/control/worker_desk.cc
@@ -75,7 +75,7 @@
                   const protocol::worker_poll& aPoll,
                   const cell::instant& aNow)
 {
-  const std::uint32_t wait = std::min(aPoll.mWaitMs, protocol::kMostPollMs);
+  const std::uint32_t wait = std::min(aPoll.mWaitMs, protocol::kMaxPollMs);
   AnswerPoll(aCall, aPoll, aNow.mNow + milliseconds(wait), wait > 0, aNow);
 }
 
--- a/oriolewalk/entry/caller_api.cc
+++ b/oriolewalk/entry/caller_api.cc
@@ -51,7 +51,7 @@
   const char* last = aText.data() + aText.size();
   const auto [end, problem] = std::from_chars(aText.data(), last, value);
   if (problem != std::errc{} || end != last || value == 0 ||
-      value > protocol::kMostDeadlineMs) {
+      value > protocol::kMaxDeadlineMs) {
     return std::nullopt;
   }
   return value;
--- a/oriolewalk/entry/platform_api.cc
+++ b/oriolewalk/entry/platform_api.cc
@@ -37,7 +37,7 @@
 {
   const auto task = cell::ParseTask(aFields.Text("task"));
   if (!task) {
-    aFields.Complain("task", "must be as job-1/0");
+    aFields.AddProblem("task", "must be as job-1/0");
   }
   return task.value_or(cell::task_id{});
 }
@@ -87,7 +87,7 @@
   announced.mConnections =
     ToUnsigned(fields.Number("connections", 1, kMostSlots));
   if (!settings::ParseAddress(announced.mAddress)) {
-    fields.Complain("address", "must be IP:PORT");
+    fields.AddProblem("address", "must be IP:PORT");
   }
   return Finish(fields, announced);
 }
@@ -125,7 +125,7 @@
   poll.mWorker = worker_id(std::string(aWorker));
   poll.mPoll.mBoot = cell::boot_id(fields.Text("boot"));
   poll.mWaitMs =
-    ToUnsigned(fields.Number("wait_ms", 0, protocol::kMostPollMs, 0));
+    ToUnsigned(fields.Number("wait_ms", 0, protocol::kMaxPollMs, 0));
   for (const json::value& one : fields.List("running")) {
     json_fields task(one, kStep);
     cell::running_task running;
@@ -138,7 +138,7 @@
       running.mLimitMilliProcessors = limit;
     }
     poll.mPoll.mRunning.push_back(running);
-    fields.Take(task);
+    fields.AddProblemOf(task);
   }
   for (const json::value& one : fields.List("ended")) {
     json_fields task(one, kStep);
@@ -147,12 +147,12 @@
     ended.mAttempt = ToUnsigned(task.Number("attempt", 1, kMostAttempt));
     const auto parsed = cell::ParseResult(task.Text("result"));
     if (!parsed) {
-      task.Complain("result",
-                    "must be succeeded, failed, checkpointed or stopped");
+      task.AddProblem("result",
+                      "must be succeeded, failed, checkpointed or stopped");
     }
     ended.mResult = parsed.value_or(cell::attempt_result::Failed);
     poll.mPoll.mEnded.push_back(ended);
-    fields.Take(task);
+    fields.AddProblemOf(task);
   }
   return Finish(fields, poll);
 }
--- a/oriolewalk/entry/request_flow.cc
+++ b/oriolewalk/entry/request_flow.cc
@@ -212,7 +212,7 @@
   http::response answer = CompletedAnswer(std::move(aResponse));
   report.mFinish.mStatus = static_cast<std::uint16_t>(answer.mStatus);
   bytes kept = EncodeAnswer(answer);
-  report.mFinish.mAnswerKept = kept.size() <= protocol::kMostKeptAnswer;
+  report.mFinish.mAnswerKept = kept.size() <= protocol::kMaxStoredAnswerBytes;
   if (report.mFinish.mAnswerKept) {
     report.mFinish.mAnswer = std::move(kept);
   }
--- a/oriolewalk/protocol/json_fields.cc
+++ b/oriolewalk/protocol/json_fields.cc
@@ -24,14 +24,14 @@
   , mStep(aStep)
 {
   if (mObject == nullptr) {
-    Complain("the value", "must be a JSON object");
+    AddProblem("the value", "must be a JSON object");
   }
 }
 
 const json::value*
 json_fields::Find(std::string_view aName)
 {
-  mSeen.emplace_back(aName);
+  mFieldsRead.emplace_back(aName);
   return mObject == nullptr ? nullptr : mObject->if_contains(aName);
 }
 
@@ -45,7 +45,7 @@
   }
   if (value == nullptr || !value->is_string() ||
       (value->as_string().empty() && !aDefault)) {
-    Complain(aName, "must be a string that is not empty");
+    AddProblem(aName, "must be a string that is not empty");
     return {};
   }
   return std::string(value->as_string());
@@ -53,20 +53,20 @@
 
 std::int64_t
 json_fields::Number(std::string_view aName,
-                    std::int64_t aLeast,
-                    std::int64_t aMost,
+                    std::int64_t aMin,
+                    std::int64_t aMax,
                     std::optional<std::int64_t> aDefault)
 {
   const json::value* value = Find(aName);
   if (value == nullptr && aDefault) {
     return *aDefault;
   }
-  if (value == nullptr || !value->is_int64() || value->as_int64() < aLeast ||
-      value->as_int64() > aMost) {
-    Complain(aName,
-             "must be a whole number from " + std::to_string(aLeast) + " to " +
-               std::to_string(aMost));
-    return aLeast;
+  if (value == nullptr || !value->is_int64() || value->as_int64() < aMin ||
+      value->as_int64() > aMax) {
+    AddProblem(aName,
+               "must be a whole number from " + std::to_string(aMin) + " to " +
+                 std::to_string(aMax));
+    return aMin;
   }
   return value->as_int64();
 }
@@ -79,7 +79,7 @@
     return false;
   }
   if (!value->is_bool()) {
-    Complain(aName, "must be true or false");
+    AddProblem(aName, "must be true or false");
     return false;
   }
   return value->as_bool();
@@ -88,20 +88,20 @@
 const json::array&
 json_fields::List(std::string_view aName)
 {
-  static const json::array sNone;
+  static const json::array sEmpty;
   const json::value* value = Find(aName);
   if (value == nullptr) {
-    return sNone;
+    return sEmpty;
   }
   if (!value->is_array()) {
-    Complain(aName, "must be a list");
-    return sNone;
+    AddProblem(aName, "must be a list");
+    return sEmpty;
   }
   return value->get_array();
 }
 
 void
-json_fields::Complain(std::string_view aName, std::string_view aWhat)
+json_fields::AddProblem(std::string_view aName, std::string_view aWhat)
 {
   if (!mProblem) {
     mProblem = error{ error_code::InvalidArgument,
@@ -112,7 +112,7 @@
 }
 
 void
-json_fields::Take(const json_fields& aInner)
+json_fields::AddProblemOf(const json_fields& aInner)
 {
   if (!mProblem) {
     mProblem = aInner.mProblem;
@@ -120,14 +120,14 @@
 }
 
 void
-json_fields::RefuseOthers()
+json_fields::RejectUnknownFields()
 {
   if (mObject == nullptr) {
     return;
   }
   std::ranges::for_each(*mObject, [this](const auto& aField) {
-    if (std::ranges::find(mSeen, aField.key()) == mSeen.end()) {
-      Complain(std::string(aField.key()), "is not a known field");
+    if (std::ranges::find(mFieldsRead, aField.key()) == mFieldsRead.end()) {
+      AddProblem(std::string(aField.key()), "is not a known field");
     }
   });
 }
--- a/oriolewalk/protocol/json_fields.h
+++ b/oriolewalk/protocol/json_fields.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Reads the fields of a JSON object with checks; the first one that is wrong
-// is kept.
+// Reads and checks the fields of a JSON object. Only the first problem is
+// recorded.
 //
 //   auto body = ParseJson(text, "announcing a target");
 //   json_fields fields(*body, "announcing a target");
@@ -22,11 +22,12 @@
 
 namespace oriolewalk::protocol {
 
-// Errors: InvalidArgument, if the text is no JSON.
+// Errors: InvalidArgument if the text is not valid JSON.
 result<boost::json::value>
 ParseJson(std::string_view aText, std::string_view aStep);
 
-// A view: the value must outlive it. Fields without a default must be there.
+// A view: the value must outlive it. A field without a default is required; a
+// required field that is missing is a problem.
 class json_fields
 {
 public:
@@ -35,20 +36,23 @@
   std::string Text(std::string_view aName,
                    std::optional<std::string_view> aDefault = std::nullopt);
   std::int64_t Number(std::string_view aName,
-                      std::int64_t aLeast,
-                      std::int64_t aMost,
+                      std::int64_t aMin,
+                      std::int64_t aMax,
                       std::optional<std::int64_t> aDefault = std::nullopt);
-  // False if it isn't there.
+  // Returns false if the field is missing.
   bool Flag(std::string_view aName);
-  // Empty if it isn't there.
+  // Returns an empty list if the field is missing.
   const boost::json::array& List(std::string_view aName);
 
-  // aWhat continues a sentence that starts with the name: "must be positive".
-  void Complain(std::string_view aName, std::string_view aWhat);
-  // An inner object's problem becomes this one's.
-  void Take(const json_fields& aInner);
-  // Fields that nobody has asked for are mistakes of spelling.
-  void RefuseOthers();
+  // Records a problem unless there is one already. aWhat completes a sentence
+  // that starts with the name, such as "must be positive".
+  void AddProblem(std::string_view aName, std::string_view aWhat);
+  // Records the problem of an inner object, if it has one and this object has
+  // none.
+  void AddProblemOf(const json_fields& aInner);
+  // Records a problem if the object has a field that was not read: it is
+  // probably a misspelt name.
+  void RejectUnknownFields();
 
   [[nodiscard]] const std::optional<error>& Problem() const { return mProblem; }
 
@@ -57,7 +61,7 @@
 
   const boost::json::object* mObject;
   std::string mStep;
-  std::vector<std::string> mSeen;
+  std::vector<std::string> mFieldsRead;
   std::optional<error> mProblem;
 };
 
--- a/oriolewalk/protocol/messages.h
+++ b/oriolewalk/protocol/messages.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// What entries ask of the control processes, and the answers. Every question
-// is safe to ask again of any control process: claims bear a token, edits a
-// change id, jobs a key; the rest says what is, not what to change.
+// The requests that entries send to the control processes, and the answers.
+// Every request is idempotent and may be repeated to any control process: a
+// claim has a token, an edit a change id and a job a key. All other requests
+// report a state rather than ask for a change.
 
 #include <cstdint>
 #include <optional>
@@ -23,12 +24,13 @@
 
 // NOLINTBEGIN(readability-identifier-naming): cereal's serialize
 
-// An entry is there and acts on this version of the weights table. The answer
-// is held until there is a newer version, or for kHeartbeatHold.
+// Reports that an entry is up and which version of the weights table it uses.
+// The leader holds the answer until there is a newer version, at most for
+// kHeartbeatHoldMs.
 struct heartbeat
 {
   ledger::owning_entry mCarrier;
-  std::string mAddress; // where it takes callers, for status pages
+  std::string mAddress; // listen address for callers, for status pages
   data_centre_id mDataCentre;
   std::uint64_t mWeightsVersion = 0;
   bool mDraining = false;
@@ -42,8 +44,8 @@
   }
 };
 
-// mGranted: the serving lease is renewed from when the heartbeat was sent.
-// Otherwise mTable has the version to act on.
+// If mGranted is true, the serving lease is renewed from the time at which the
+// heartbeat was sent. Otherwise mTable holds the version to use.
 struct heartbeat_answer
 {
   bool mGranted = false;
@@ -57,7 +59,8 @@
   }
 };
 
-// A caller's request asks for a target. Held until it is placed or refused.
+// Claims a target for a caller's request. The answer is held until the request
+// is placed or refused.
 struct claim_request
 {
   ledger::request_ref mRef;
@@ -65,11 +68,11 @@
   ledger::owning_entry mCarrier;
   std::uint64_t mToken = 0;
   service_id mService;
-  std::string mCallerKey; // shares the organisation's share fairly
+  std::string mCallerKey; // fair sharing within the organisation's share
   traffic::work_class mClass = traffic::work_class::Normal;
   bool mRepeatable = false;
   data_centre_id mOrigin;
-  std::uint32_t mDeadlineMs = 0; // what is left of it
+  std::uint32_t mDeadlineMs = 0; // time that is left
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -87,14 +90,15 @@
   }
 };
 
-// Send this attempt there; nobody else will.
+// Allows the entry to send this attempt to the target. No other entry is
+// granted the same attempt.
 struct claim_granted
 {
   std::uint32_t mAttempt = 0;
   target_id mTarget;
   std::string mAddress;
-  // How long it waited for its turn, so that the entry can tell a slow control
-  // process from a full cell.
+  // Time in the queue. With it the entry distinguishes a slow control process
+  // from a full cell.
   std::uint32_t mWaitedMs = 0;
 
   template<class Archive>
@@ -104,7 +108,8 @@
   }
 };
 
-// The key has ended, or another attempt of it waits or runs.
+// The request with this key has ended, or another attempt of it is queued or
+// running.
 struct claim_known
 {
   ledger::request_state mState = ledger::request_state::Running;
@@ -119,7 +124,7 @@
   }
 };
 
-// Nothing was started and nothing is asserted about the key.
+// Nothing was started, and the answer makes no statement about the key.
 struct claim_busy
 {
   std::string mReason;
@@ -132,7 +137,7 @@
   }
 };
 
-// A tombstone is committed: it did not run and never will.
+// A tombstone is committed: the request did not run and never will.
 struct claim_not_run
 {
   std::string mReason;
@@ -144,7 +149,7 @@
   }
 };
 
-// The key belongs to other work.
+// The key was already used for a request with other content.
 struct claim_mismatch
 {
   template<class Archive>
@@ -159,8 +164,8 @@
                                   claim_not_run,
                                   claim_mismatch>;
 
-// How the granted attempt ended. With NotStarted for a token whose grant never
-// arrived, it gives the claim back.
+// Reports how the granted attempt ended. NotStarted for a token whose grant
+// never arrived releases the claim.
 struct finish_request
 {
   ledger::finish mFinish;
@@ -174,7 +179,8 @@
   }
 };
 
-// The caller hung up. What waits leaves its queue; what runs goes on.
+// Reports that the caller disconnected. A queued request leaves its queue; a
+// running request continues.
 struct cancel_request
 {
   ledger::request_ref mRef;
@@ -268,7 +274,7 @@
   }
 };
 
-// An operator's HTTP request, passed to the leader as it came.
+// An operator's HTTP request, passed to the leader unchanged.
 struct operator_request
 {
   std::string mMethod;
@@ -322,7 +328,7 @@
                                  worker_answer,
                                  operator_answer>;
 
-// The stamps keep the time line in causal order over processes.
+// The stamps keep the events of all processes in causal order.
 struct request
 {
   observe::stamp mStamp;
@@ -352,18 +358,18 @@
 // Kind of the RPC call that carries a request.
 constexpr std::uint16_t kControlCall = 1;
 
-// How long the leader holds a heartbeat: a third of the serving lease, less a
-// round trip, so that two lost heartbeats still leave the lease alive.
+// How long the leader holds a heartbeat. A third of the serving lease, less a
+// round trip, keeps the lease valid when two heartbeats are lost.
 constexpr std::uint32_t kHeartbeatHoldMs = 500;
-// Targets renew four times in a lease; a silent one gets nothing new within
-// 2 s, as the brief asks for "a few seconds".
+// Targets renew four times per lease. A silent target gets no new requests
+// after 2 s, because the required detection time is a few seconds.
 constexpr std::uint32_t kTargetRenewMs = 500;
 constexpr std::uint32_t kTargetLeaseMs = 2000;
-// Longest time for which a worker's poll is held.
-constexpr std::uint32_t kMostPollMs = 1000;
-// Longest deadline that a caller may ask for.
-constexpr std::uint32_t kMostDeadlineMs = 600'000;
-// Answers up to this size are kept in the ledger.
-constexpr std::size_t kMostKeptAnswer = 16UL * 1024;
+// Maximum time for which a worker's poll is held.
+constexpr std::uint32_t kMaxPollMs = 1000;
+// Maximum deadline that a caller may request.
+constexpr std::uint32_t kMaxDeadlineMs = 600'000;
+// Answers up to this size are stored in the ledger.
+constexpr std::size_t kMaxStoredAnswerBytes = 16UL * 1024;
 
 } // namespace oriolewalk::protocol
--- a/oriolewalk/protocol/policy_map.cc
+++ b/oriolewalk/protocol/policy_map.cc
@@ -13,7 +13,7 @@
 constexpr std::int64_t kNoQuota = std::numeric_limits<std::int64_t>::max() / 4;
 
 traffic::share_rule
-Rule(const weights::weights_row& aRow)
+ShareRule(const weights::weights_row& aRow)
 {
   traffic::share_rule rule;
   rule.mWeight = aRow.mWeight;
@@ -25,7 +25,7 @@
 }
 
 std::set<organisation_id>
-Named(const weights::weights_table& aTable)
+NamedOrganisations(const weights::weights_table& aTable)
 {
   std::set<organisation_id> named;
   for (const weights::weights_row& row : aTable.Rows()) {
@@ -43,25 +43,26 @@
 {
   traffic::share_policy policy;
   const organisation_id anyone{ std::string(weights::kAnyone) };
-  const std::set<organisation_id> named = Named(aTable);
+  const std::set<organisation_id> named = NamedOrganisations(aTable);
   for (const work_class workClass : kClasses) {
-    policy.SetDefault(workClass, Rule(aTable.Find(anyone, workClass)));
+    policy.SetDefault(workClass, ShareRule(aTable.Find(anyone, workClass)));
     for (const organisation_id& organisation : named) {
-      policy.Set(
-        organisation, workClass, Rule(aTable.Find(organisation, workClass)));
+      policy.Set(organisation,
+                 workClass,
+                 ShareRule(aTable.Find(organisation, workClass)));
     }
   }
   return policy;
 }
 
-// The cell has one weight and one quota for each organisation: those of its
-// heavy row, the class of batch work.
+// The cell has one weight and one quota per organisation. They come from the
+// organisation's row for the heavy class, which is the class of batch work.
 cell::cell_policy
 CellPolicy(const weights::weights_table& aTable, std::uint64_t aVersion)
 {
   cell::cell_policy policy;
   policy.mVersion = aVersion;
-  for (const organisation_id& organisation : Named(aTable)) {
+  for (const organisation_id& organisation : NamedOrganisations(aTable)) {
     const weights::weights_row& row =
       aTable.Find(organisation, work_class::Heavy);
     policy.mWeights[organisation] = row.mWeight;
--- a/oriolewalk/protocol/policy_map.h
+++ b/oriolewalk/protocol/policy_map.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// The weights table as the dispatcher and the cell scheduler read it.
+// Converts the weights table to the policies that the dispatcher and the cell
+// scheduler use.
 
 #include "oriolewalk/cell/policy.h"
 #include "oriolewalk/traffic/policy.h"
