--- a/bench/capacity_bench.cc
+++ b/bench/capacity_bench.cc
@@ -341,7 +341,7 @@
 MeasureMessages(bench_report& aReport)
 {
   protocol::heartbeat beat;
-  beat.mCarrier = { instance_id("entry-1"), 1'700'000'000'000 };
+  beat.mOwner = { instance_id("entry-1"), 1'700'000'000'000 };
   beat.mAddress = "10.0.0.1:8080";
   beat.mDataCentre = data_centre_id("dc1");
   aReport.Add("capacity.heartbeat_message",
--- a/oriolewalk/control/control_core.cc
+++ b/oriolewalk/control/control_core.cc
@@ -260,9 +260,9 @@
     Live().TargetGone(target, aNow);
     mEvents.push_back({ .mKind = "target-gone", .mTarget = target.Value() });
   }
-  for (const ledger::owning_entry& carrier :
+  for (const ledger::owning_entry& owner :
        mEntries.Lost(mState.Ledger().Owners(), aNow)) {
-    Propose(ledger::ledger_command(ledger::owner_lost{ carrier }), {});
+    Propose(ledger::ledger_command(ledger::owner_lost{ owner }), {});
   }
   Live().Sweep(aNow);
   Workers().Tick({ aNow, aWallMs });
--- a/oriolewalk/control/control_metrics.cc
+++ b/oriolewalk/control/control_metrics.cc
@@ -144,7 +144,7 @@
   mKnown.Show(aLive.mKnown);
   mBusy.Show(aLive.mBusy);
   mNotRun.Show(aLive.mNotRun);
-  mEntriesLost.Show(aLive.mCarriersLost);
+  mEntriesLost.Show(aLive.mOwnersLost);
 }
 
 void
--- a/oriolewalk/control/entry_registry.cc
+++ b/oriolewalk/control/entry_registry.cc
@@ -6,46 +6,44 @@
 namespace oriolewalk::control {
 
 void
-entry_registry::Reset(const std::set<ledger::owning_entry>& aCarrying,
+entry_registry::Reset(const std::set<ledger::owning_entry>& aOwners,
                       time_point aNow)
 {
   mEntries.clear();
   mHeardAt.clear();
-  std::ranges::for_each(aCarrying, [&](const ledger::owning_entry& aCarrier) {
-    mHeardAt.emplace(aCarrier, aNow);
+  std::ranges::for_each(aOwners, [&](const ledger::owning_entry& aOwner) {
+    mHeardAt.emplace(aOwner, aNow);
   });
 }
 
 void
 entry_registry::Heard(const protocol::heartbeat& aBeat, time_point aNow)
 {
-  known_entry& entry = mEntries[aBeat.mCarrier.mInstance];
+  known_entry& entry = mEntries[aBeat.mOwner.mInstance];
   // A late heartbeat of an earlier life must not replace the present one's.
-  if (aBeat.mCarrier.mBoot >= entry.mLast.mCarrier.mBoot) {
+  if (aBeat.mOwner.mBoot >= entry.mLast.mOwner.mBoot) {
     entry = { aBeat, aNow };
   }
-  mHeardAt[aBeat.mCarrier] = aNow;
+  mHeardAt[aBeat.mOwner] = aNow;
 }
 
 std::vector<ledger::owning_entry>
-entry_registry::Lost(const std::set<ledger::owning_entry>& aCarrying,
+entry_registry::Lost(const std::set<ledger::owning_entry>& aOwners,
                      time_point aNow)
 {
   std::vector<ledger::owning_entry> lost;
   std::ranges::copy_if(
-    aCarrying,
-    std::back_inserter(lost),
-    [&](const ledger::owning_entry& aCarrier) {
-      const auto entry = mEntries.find(aCarrier.mInstance);
+    aOwners, std::back_inserter(lost), [&](const ledger::owning_entry& aOwner) {
+      const auto entry = mEntries.find(aOwner.mInstance);
       const bool replaced = entry != mEntries.end() &&
-                            entry->second.mLast.mCarrier.mBoot > aCarrier.mBoot;
+                            entry->second.mLast.mOwner.mBoot > aOwner.mBoot;
       // First seen in the ledger now: its grace starts.
-      const auto heard = mHeardAt.emplace(aCarrier, aNow).first;
-      return replaced || aNow - heard->second >= kCarrierGrace;
+      const auto heard = mHeardAt.emplace(aOwner, aNow).first;
+      return replaced || aNow - heard->second >= kOwnerGrace;
     });
   std::erase_if(mHeardAt, [&](const auto& aEntry) {
-    return !aCarrying.contains(aEntry.first) &&
-           aNow - aEntry.second >= kCarrierGrace;
+    return !aOwners.contains(aEntry.first) &&
+           aNow - aEntry.second >= kOwnerGrace;
   });
   return lost;
 }
--- a/oriolewalk/control/entry_registry.h
+++ b/oriolewalk/control/entry_registry.h
@@ -2,7 +2,7 @@
 
 // The entries that the leader knows, and the owners that are lost.
 //
-// An owner (an incarnation of an entry) that is silent for kCarrierGrace is
+// An owner (an incarnation of an entry) that is silent for kOwnerGrace is
 // declared lost, and the requests that it owned are recorded as unknown. That
 // is correct even if it was only paused, and its answers still replace
 // "unknown" when it resumes. A shorter grace would record requests as unknown
@@ -26,7 +26,7 @@
 
 // Twice the serving lease and half as much again: an entry that still admits
 // work has been heard of within its lease.
-constexpr seconds kCarrierGrace{ 5 };
+constexpr seconds kOwnerGrace{ 5 };
 
 struct known_entry
 {
@@ -37,13 +37,13 @@
 class entry_registry
 {
 public:
-  void Reset(const std::set<ledger::owning_entry>& aCarrying, time_point aNow);
+  void Reset(const std::set<ledger::owning_entry>& aOwners, time_point aNow);
   // Also called for any other message that names its owner.
   void Heard(const protocol::heartbeat& aBeat, time_point aNow);
-  // Returns the owners of aCarrying that are silent, or whose instance runs
+  // Returns those of aOwners that are silent, or whose instance runs
   // under another boot. Each is returned until the ledger no longer names it.
   [[nodiscard]] std::vector<ledger::owning_entry> Lost(
-    const std::set<ledger::owning_entry>& aCarrying,
+    const std::set<ledger::owning_entry>& aOwners,
     time_point aNow);
   [[nodiscard]] const std::map<instance_id, known_entry>& All() const
   {
--- a/oriolewalk/control/live_requests.cc
+++ b/oriolewalk/control/live_requests.cc
@@ -236,7 +236,7 @@
   for (auto& [token, running] : mRunning) {
     // The target may keep working for a lost owner until the deadline that it
     // was given, so its slot is not reused before.
-    if (running.mCarrierLost && aNow >= running.mDeadline) {
+    if (running.mOwnerLost && aNow >= running.mDeadline) {
       free.push_back(token);
     } else if (!running.mReported &&
                aNow >= running.mDeadline + kOverdueGrace) {
@@ -282,7 +282,7 @@
   claim.mRepeatable = request.mRepeatable;
   claim.mDeadlineWallMs = aWallMs + ToMilliseconds(waiting.mDeadline - aNow);
   if (target != nullptr) {
-    claim.mPlacement = { request.mCarrier,
+    claim.mPlacement = { request.mOwner,
                          request.mService,
                          aDispatch.mTarget,
                          target->mAnnounced.mAddress };
@@ -444,9 +444,9 @@
                           const ledger::ledger_outcome& /*aOutcome*/,
                           time_point /*aNow*/)
 {
-  ++mCounters.mCarriersLost;
+  ++mCounters.mOwnersLost;
   for (running_claim& running : mRunning | std::views::values) {
-    running.mCarrierLost |= running.mCarrier == aLost.mOwner;
+    running.mOwnerLost |= running.mOwner == aLost.mOwner;
   }
 }
 
--- a/oriolewalk/control/live_requests.h
+++ b/oriolewalk/control/live_requests.h
@@ -53,7 +53,7 @@
   std::uint64_t mKnown = 0;
   std::uint64_t mBusy = 0;
   std::uint64_t mNotRun = 0;
-  std::uint64_t mCarriersLost = 0;
+  std::uint64_t mOwnersLost = 0;
   std::uint64_t mOverdue = 0;
 };
 
@@ -130,10 +130,10 @@
   {
     traffic::request_id mId;
     ledger::request_ref mRef;
-    ledger::owning_entry mCarrier;
+    ledger::owning_entry mOwner;
     target_id mTarget;
     time_point mDeadline;
-    bool mCarrierLost = false;
+    bool mOwnerLost = false;
     bool mReported = false; // its overdue report is proposed
   };
 
--- a/oriolewalk/control/weights_desk.cc
+++ b/oriolewalk/control/weights_desk.cc
@@ -22,14 +22,14 @@
                         time_point aNow)
 {
   const weights::confirm_answer confirmed = mTracker.Confirm(
-    aBeat.mCarrier.mInstance, aBeat.mWeightsVersion, mRegister.Version(), aNow);
+    aBeat.mOwner.mInstance, aBeat.mWeightsVersion, mRegister.Version(), aNow);
   AnswerOperators(aNow);
   if (!confirmed.mGranted) {
     Answer(aCall, false, aBeat.mWeightsVersion);
     return;
   }
   const auto former = mBeats.Hold(
-    aBeat.mCarrier.mInstance,
+    aBeat.mOwner.mInstance,
     { aCall, aBeat, aNow + milliseconds(protocol::kHeartbeatHoldMs) });
   if (former) {
     Answer(former->mCall, true, former->mQuestion.mWeightsVersion);
--- a/oriolewalk/entry/entry_process.cc
+++ b/oriolewalk/entry/entry_process.cc
@@ -74,7 +74,7 @@
                  mMetrics.Counter(
                    "oriole_entry_late_reports_total",
                    "ends of attempts reported after the caller's answer") }
-    , mFront({ Carrier(), data_centre_id(aSettings.mDataCentre) },
+    , mFront({ OwningEntry(), data_centre_id(aSettings.mDataCentre) },
              mServices,
              mServing,
              mMetrics,
@@ -130,8 +130,8 @@
   }
 
 private:
-  // The wall clock at the start tells one life of an instance from the next.
-  ledger::owning_entry Carrier()
+  // The wall clock at the start distinguishes the incarnations of an instance.
+  ledger::owning_entry OwningEntry()
   {
     if (mBoot == 0) {
       mBoot = static_cast<std::uint64_t>(WallMilliseconds());
@@ -142,7 +142,7 @@
   protocol::heartbeat Beat()
   {
     protocol::heartbeat beat;
-    beat.mCarrier = Carrier();
+    beat.mOwner = OwningEntry();
     beat.mAddress = mSettings.mListen.ToString();
     beat.mDataCentre = data_centre_id(mSettings.mDataCentre);
     return beat;
--- a/oriolewalk/entry/http_front.cc
+++ b/oriolewalk/entry/http_front.cc
@@ -152,13 +152,13 @@
   random_source random(mSeed + mLast.fetch_add(1));
   const std::uint64_t token = random.Bits();
   const std::string madeKey =
-    mIdentity.mCarrier.mInstance.Value() + "-" + std::to_string(token);
+    mIdentity.mOwner.mInstance.Value() + "-" + std::to_string(token);
   auto call = ParseCall(aRequest, madeKey);
   if (!call) {
     aResponder.Send(ErrorAnswer(kBadRequest, call.error()));
     return;
   }
-  call->mClaim.mCarrier = mIdentity.mCarrier;
+  call->mClaim.mOwner = mIdentity.mOwner;
   call->mClaim.mOrigin = mIdentity.mDataCentre;
   call->mClaim.mToken = token;
   const traffic::entry_verdict verdict =
--- a/oriolewalk/entry/http_front.h
+++ b/oriolewalk/entry/http_front.h
@@ -18,7 +18,7 @@
 
 struct front_identity
 {
-  ledger::owning_entry mCarrier;
+  ledger::owning_entry mOwner;
   data_centre_id mDataCentre;
 };
 
--- a/oriolewalk/protocol/messages.h
+++ b/oriolewalk/protocol/messages.h
@@ -29,7 +29,7 @@
 // kHeartbeatHoldMs.
 struct heartbeat
 {
-  ledger::owning_entry mCarrier;
+  ledger::owning_entry mOwner;
   std::string mAddress; // listen address for callers, for status pages
   data_centre_id mDataCentre;
   std::uint64_t mWeightsVersion = 0;
@@ -40,7 +40,7 @@
   void serialize(Archive& aArchive)
   {
     aArchive(
-      mCarrier, mAddress, mDataCentre, mWeightsVersion, mDraining, mInProgress);
+      mOwner, mAddress, mDataCentre, mWeightsVersion, mDraining, mInProgress);
   }
 };
 
@@ -65,7 +65,7 @@
 {
   ledger::request_ref mRef;
   std::uint64_t mFingerprint = 0;
-  ledger::owning_entry mCarrier;
+  ledger::owning_entry mOwner;
   std::uint64_t mToken = 0;
   service_id mService;
   std::string mCallerKey; // fair sharing within the organisation's share
@@ -79,7 +79,7 @@
   {
     aArchive(mRef,
              mFingerprint,
-             mCarrier,
+             mOwner,
              mToken,
              mService,
              mCallerKey,
--- a/testing/control/registries_test.cc
+++ b/testing/control/registries_test.cc
@@ -53,24 +53,25 @@
 Beat(std::uint64_t aBoot)
 {
   protocol::heartbeat beat;
-  beat.mCarrier = { instance_id("e1"), aBoot };
+  beat.mOwner = { instance_id("e1"), aBoot };
   return beat;
 }
 
 TEST_CASE("a carrier is lost when it is silent or lives under another boot")
 {
   entry_registry entries;
-  const std::set<ledger::owning_entry> carrying = { { instance_id("e1"), 1 } };
-  entries.Reset(carrying, kStart);
-  CHECK(entries.Lost(carrying, kStart + kCarrierGrace - seconds(1)).empty());
+  const std::set<ledger::owning_entry> owners = { { instance_id("e1"), 1 } };
+  entries.Reset(owners, kStart);
+  CHECK(entries.Lost(owners, kStart + kOwnerGrace - seconds(1)).empty());
   entries.Heard(Beat(1), kStart + seconds(3));
-  CHECK(entries.Lost(carrying, kStart + kCarrierGrace).empty());
-  // The instance was restarted: its former life surely carries nothing more.
+  CHECK(entries.Lost(owners, kStart + kOwnerGrace).empty());
+  // The instance was restarted: its former incarnation no longer owns
+  // requests.
   entries.Heard(Beat(2), kStart + seconds(4));
-  CHECK(entries.Lost(carrying, kStart + seconds(4)).size() == 1);
-  // A late heartbeat of the former life doesn't bring it back.
+  CHECK(entries.Lost(owners, kStart + seconds(4)).size() == 1);
+  // A late heartbeat of the former incarnation doesn't make it valid again.
   entries.Heard(Beat(1), kStart + seconds(4));
-  CHECK(entries.Lost(carrying, kStart + seconds(4)).size() == 1);
+  CHECK(entries.Lost(owners, kStart + seconds(4)).size() == 1);
 }
 
 TEST_CASE("a held call is given back when a later one takes its place")
--- a/testing/system/fake_cell.cc
+++ b/testing/system/fake_cell.cc
@@ -73,9 +73,8 @@
 {
   fake_entry& made = mEntries[aName];
   made = {};
-  made.mCarrier = { instance_id(aName),
-                    static_cast<std::uint64_t>(
-                      mNow.time_since_epoch().count()) };
+  made.mOwner = { instance_id(aName),
+                  static_cast<std::uint64_t>(mNow.time_since_epoch().count()) };
 }
 
 void
--- a/testing/system/fake_cell.h
+++ b/testing/system/fake_cell.h
@@ -152,7 +152,7 @@
   };
   struct fake_entry
   {
-    ledger::owning_entry mCarrier;
+    ledger::owning_entry mOwner;
     bool mUp = true;
     bool mPaused = false;
     std::uint64_t mVersion = 0;
--- a/testing/system/fake_cell_parties.cc
+++ b/testing/system/fake_cell_parties.cc
@@ -159,7 +159,7 @@
     }
     entry.mBeating = true;
     protocol::heartbeat beat;
-    beat.mCarrier = entry.mCarrier;
+    beat.mOwner = entry.mOwner;
     beat.mWeightsVersion = entry.mVersion;
     Ask(beat, mNow + seconds(1), [this, entryName = name](const auto& aAnswer) {
       fake_entry& heard = mEntries.at(entryName);
@@ -199,7 +199,7 @@
   claim.mRef = { organisation_id(aRequest.mOrganisation),
                  request_key(aRequest.mKey) };
   claim.mFingerprint = std::hash<std::string>{}(aRequest.mBody);
-  claim.mCarrier = mEntries.at(aEntry).mCarrier;
+  claim.mOwner = mEntries.at(aEntry).mOwner;
   claim.mToken = ++mLastToken * 1000;
   claim.mService = service_id("fees");
   claim.mCallerKey = "caller";
