--- a/oriolewalk/entry/entry_process.cc
+++ b/oriolewalk/entry/entry_process.cc
@@ -16,7 +16,7 @@
 #include "oriolewalk/base/timer.h"
 #include "oriolewalk/entry/control_link.h"
 #include "oriolewalk/entry/heartbeat_loop.h"
-#include "oriolewalk/entry/http_front.h"
+#include "oriolewalk/entry/http_handler.h"
 #include "oriolewalk/entry/live_call.h"
 #include "oriolewalk/entry/serving_state.h"
 #include "oriolewalk/observe/event_log.h"
--- a/oriolewalk/entry/http_front.cc
+++ b/oriolewalk/entry/http_handler.cc
@@ -1,4 +1,4 @@
-#include "oriolewalk/entry/http_front.h"
+#include "oriolewalk/entry/http_handler.h"
 
 #include <chrono>
 #include <utility>
