--- a/oriolewalk/entry/answers.cc
+++ b/oriolewalk/entry/answers.cc
@@ -22,10 +22,10 @@
 constexpr unsigned kUnprocessable = 422;
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kUnavailable = 503;
-// A caller whose key runs asks again so soon.
+// Retry-After for a caller whose key is still running.
 constexpr milliseconds kAskAgain{ 1000 };
 
-// For one connection only (RFC 9110, section 7.6.1).
+// Headers that apply to one connection only (RFC 9110, section 7.6.1).
 constexpr std::array<std::string_view, 8> kHopByHop = {
   "connection", "keep-alive",        "proxy-connection", "te",
   "trailer",    "transfer-encoding", "upgrade",          "content-length",
@@ -44,8 +44,8 @@
   }
 };
 
-// Whole seconds, as HTTP has it, and never 0: "now" would only bring the
-// caller back into the same burst.
+// Returns whole seconds, as HTTP requires, and at least 1: with 0 the caller
+// would retry within the same burst.
 std::string
 RetryAfter(duration aAfter)
 {
@@ -97,7 +97,7 @@
                      { error_code::Conflict,
                        "claim",
                        {},
-                       "the idempotency key belongs to other work" });
+                       "the idempotency key was used for another request" });
 }
 
 http::response
@@ -107,7 +107,9 @@
     case ledger::request_state::Running:
     case ledger::request_state::Ready: {
       http::response answer =
-        OutcomeAnswer(kConflict, "running", "an earlier copy is in progress");
+        OutcomeAnswer(kConflict,
+                      "running",
+                      "an earlier attempt with this key is in progress");
       answer.mHeaders.push_back({ "Retry-After", RetryAfter(kAskAgain) });
       return answer;
     }
@@ -172,7 +174,7 @@
 result<http::response>
 DecodeAnswer(std::string_view aBytes)
 {
-  auto kept = Decode<kept_answer>(aBytes, "reading a kept answer");
+  auto kept = Decode<kept_answer>(aBytes, "reading a stored answer");
   if (!kept) {
     return Fail(kept.error());
   }
--- a/oriolewalk/entry/answers.h
+++ b/oriolewalk/entry/answers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The answers that an entry gives by itself, as docs/PROTOCOLS.md lists them.
+// The answers that an entry generates itself, as listed in docs/PROTOCOLS.md.
 
 #include <string_view>
 
@@ -21,7 +21,7 @@
 UnknownAnswer(const error& aError);
 http::response
 MismatchAnswer();
-// What the ledger knows of a key.
+// The answer for a key that the ledger already has.
 http::response
 KnownAnswer(const protocol::claim_known& aKnown);
 // The target's answer, marked as completed, without hop-by-hop headers.
@@ -31,7 +31,7 @@
 http::response
 ErrorAnswer(unsigned aStatus, const error& aError);
 
-// An answer as the ledger keeps it.
+// Converts an answer to and from the form that the ledger stores.
 bytes
 EncodeAnswer(const http::response& aResponse);
 result<http::response>
--- a/oriolewalk/entry/caller_api.cc
+++ b/oriolewalk/entry/caller_api.cc
@@ -19,7 +19,7 @@
 constexpr std::size_t kMostName = 128;
 constexpr std::uint32_t kDefaultDeadlineMs = 10'000;
 
-// Ours, or for one connection only; the target gets its own.
+// Headers that the entry sets itself or that apply to one connection only.
 constexpr std::array<std::string_view, 9> kNotForwarded = {
   "host",    "connection",         "keep-alive",
   "te",      "transfer-encoding",  "content-length",
@@ -34,7 +34,8 @@
               std::string(aHeader) + " must be " + std::string(aAllowed));
 }
 
-// Names go into logs and keys: printable, without blanks or slashes.
+// Names are used in logs and keys, so they must be printable and must not
+// contain spaces, slashes or quotes.
 bool
 IsName(std::string_view aText)
 {
@@ -57,8 +58,8 @@
   return value;
 }
 
-// The same key must mean the same work; what only concerns this delivery (the
-// deadline, connection headers) is left out.
+// Detects a key that is used again for a request with other content. The
+// deadline and connection headers concern one delivery only and are left out.
 std::uint64_t
 Fingerprint(const http::request& aRequest,
             const protocol::claim_request& aClaim)
@@ -70,7 +71,8 @@
   return XXH3_64bits(text.data(), text.size());
 }
 
-// What stands in the headers; the rest of the claim is the entry's own.
+// Sets the fields of the claim that come from the headers. The entry sets the
+// others itself.
 result<void>
 ReadHeaders(const http::request& aRequest,
             const std::string& aMadeKey,
@@ -98,8 +100,8 @@
   aClaim.mRef = { organisation_id(organisation), request_key(key) };
   aClaim.mClass = *workClass;
   aClaim.mRepeatable = repeatable == "yes";
-  // Fairness within an organisation is by who calls: the address without its
-  // port, or what a front of the organisation's own says.
+  // Fair sharing within an organisation is per caller: the peer address without
+  // its port, or the caller that a proxy of the organisation names.
   const std::string_view peer = aRequest.mPeer;
   aClaim.mCallerKey = std::string(
     aRequest.Find("Oriole-Caller").value_or(peer.substr(0, peer.rfind(':'))));
--- a/oriolewalk/entry/caller_api.h
+++ b/oriolewalk/entry/caller_api.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A caller's HTTP request as a claim, checked; and the request that its target
-// gets. Pure functions.
+// Checks a caller's HTTP request and converts it to a claim, and builds the
+// request that is sent to the target. Pure functions.
 
 #include <cstdint>
 #include <string>
@@ -15,21 +15,22 @@
 
 struct parsed_call
 {
-  protocol::claim_request mClaim; // without owner, token and origin
+  protocol::claim_request mClaim; // owner, token and origin are not set
   std::string mTargetPath;        // "/PATH?QUERY" for the target
   milliseconds mDeadline{ 0 };
 };
 
-// The service and path of "/services/NAME/PATH"; false if it is none.
+// Returns whether the path has the form "/services/NAME/PATH".
 bool
 IsServicePath(std::string_view aTarget);
 
-// aMadeKey is used where the caller gave no key. Errors: InvalidArgument with
-// the header that is wrong.
+// aGeneratedKey is used if the caller sent no key. Errors: InvalidArgument,
+// naming the invalid header.
 result<parsed_call>
 ParseCall(const http::request& aRequest, const std::string& aMadeKey);
 
-// The request as the target gets it.
+// Builds the request that is sent to the target. aTimeLeft is the time until
+// the deadline.
 http::request
 ForTarget(const http::request& aRequest,
           const parsed_call& aCall,
--- a/oriolewalk/entry/control_link.cc
+++ b/oriolewalk/entry/control_link.cc
@@ -16,7 +16,7 @@
 constexpr milliseconds kLeastPause{ 10 };
 constexpr milliseconds kMostPause{ 60 };
 
-// A claim that is asked again has less time left than when it was made.
+// A retried claim has less time left than at its first attempt.
 void
 Shorten(protocol::request_body& aBody, time_point aUntil, time_point aNow)
 {
@@ -58,7 +58,7 @@
   const time_point now = runtime_clock::now();
   if (now >= aQuestion->mUntil) {
     aQuestion->mDone(Fail(
-      error_code::Timeout, "asking control", "no leader answered in time"));
+      error_code::Timeout, "calling control", "no leader answered in time"));
     return;
   }
   Shorten(aQuestion->mBody, aQuestion->mUntil, now);
--- a/oriolewalk/entry/control_link.h
+++ b/oriolewalk/entry/control_link.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// Asks the leading control process, whoever it is.
+// Sends requests to the current leader of the control processes.
 //
-//   link.Ask(claim, until, [](result<protocol::answer_body> aAnswer) {...});
+//   link.Send(claim, until, [](result<protocol::answer_body> aAnswer) {...});
 //
-// A question is asked again of the next control process while the time lasts:
-// every question is safe to ask twice (protocol/messages.h). The pause between
-// two tries is jittered, so that entries do not fall on a new leader together.
-// Any thread; the answer comes on a thread of the io_context or of the RPC.
+// A request that fails is retried at the next control process until its
+// timeout; every request is idempotent (protocol/messages.h). The delay between
+// attempts is jittered so that the entries do not all reach a new leader at
+// once. Any thread may call; the callback runs on a thread of the io_context or
+// of the RPC node.
 
 #include <atomic>
 #include <cstdint>
@@ -40,13 +41,13 @@
                std::vector<std::string> aControls,
                std::uint64_t aSeed);
 
-  // Errors: Timeout, if nobody answered until then (not known whether the
-  // question was heard); otherwise what the leader said.
+  // Errors: Timeout if no answer arrived by aUntil, in which case the request
+  // may or may not have been executed; otherwise the leader's error.
   void Ask(protocol::request_body aBody,
            time_point aUntil,
            control_callback aDone);
 
-  // Questions that had to be asked again.
+  // Number of attempts that were repeated.
   [[nodiscard]] std::uint64_t Retries() const { return mRetries; }
   void Stop() { mRpc.Stop(); }
 
@@ -68,11 +69,11 @@
 
   boost::asio::io_context& mContext;
   observe::event_log& mEvents;
-  std::mutex mMutex; // of the two below
+  std::mutex mMutex; // guards mChoice and mRandom
   wire::leader_choice mChoice;
   random_source mRandom;
   std::atomic<std::uint64_t> mRetries = 0;
-  wire::rpc_node mRpc; // last: its callbacks use the rest
+  wire::rpc_node mRpc; // last, because its callbacks use the other members
 };
 
 } // namespace oriolewalk::entry
--- a/oriolewalk/entry/entry_process.cc
+++ b/oriolewalk/entry/entry_process.cc
@@ -148,8 +148,8 @@
     return beat;
   }
 
-  // The balancer must see it first: a connection refused before it looks away
-  // is a request that the caller loses.
+  // Keeps accepting connections until the balancer has noticed the failing
+  // health check. A connection refused earlier would lose a caller's request.
   void StartStopping()
   {
     Log(log_level::Info,
--- a/oriolewalk/entry/entry_process.h
+++ b/oriolewalk/entry/entry_process.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// The entry process: HTTP towards callers, targets, workers and operators, RPC
-// towards the control processes.
+// The entry process serves HTTP to callers, targets, workers and operators, and
+// calls the control processes by RPC.
 //
-// Threads: traffic threads run HTTP and request flows; the control thread owns
-// the serving lease and the heartbeat; the RPC node has its own. The two meet
-// in serving_state (atomics) only.
+// Threads: the traffic threads run HTTP and the request flows; the control
+// thread owns the serving lease and the heartbeat; the RPC node has its own
+// threads. Traffic and control threads share only serving_state (atomics).
 
 #include <cstdint>
 #include <string>
@@ -24,13 +24,14 @@
   std::vector<settings::address> mControls;
   std::string mEventFile;
   std::uint64_t mThreads = 2;
-  // To one target, busy and idle: seven entries together stay under the 60
-  // that a target takes, and one can still fill its 8 slots.
+  // Connections to one target, busy and idle. With 8, seven entries together
+  // stay below the 60 connections that a target accepts, and a single entry can
+  // still fill a target's 8 slots.
   std::uint64_t mTargetConnections = 8;
-  // A planned stop: how long the balancer has to see that /healthz fails
+  // In a planned stop, the time for the balancer to notice that /healthz fails
   // before new connections are refused.
   milliseconds mBalancerNotice{ 2000 };
-  // And how long requests in progress may take after that.
+  // Maximum time after that for requests in progress to end.
   milliseconds mStopBound{ 30'000 };
 };
 
--- a/oriolewalk/entry/heartbeat_loop.cc
+++ b/oriolewalk/entry/heartbeat_loop.cc
@@ -11,7 +11,8 @@
 
 namespace {
 
-// Twice the leader's hold: after that the heartbeat or its answer is lost.
+// Twice the time for which the leader holds a heartbeat. After that, the
+// heartbeat or its answer is considered lost.
 constexpr milliseconds kBeatTimeout{ 2 * protocol::kHeartbeatHoldMs };
 constexpr milliseconds kPause{ 20 };
 
@@ -57,12 +58,14 @@
     return;
   }
   if (answer->mGranted) {
-    // The lease counts from the sending, and only for the version that was
-    // confirmed. The link may have asked twice; the earlier time is safe.
+    // The lease starts when the heartbeat was sent, and only for the confirmed
+    // version. The link may have retried; the time of the first attempt is the
+    // safe choice.
     mLease.Confirmed(mBeat.mWeightsVersion, aSentAt);
     mServing.SetLease(mLease.Until(), mLease.Version());
   } else if (!Adopt(*answer)) {
-    // An older or unreadable table: asking at once would only spin.
+    // The table is older or unreadable. An immediate retry would be a busy
+    // loop.
     Again(kPause);
     return;
   }
--- a/oriolewalk/entry/heartbeat_loop.h
+++ b/oriolewalk/entry/heartbeat_loop.h
@@ -1,9 +1,10 @@
 #pragma once
 
-// Keeps the serving lease: tells the leader again and again which version of
-// the weights table this entry acts on, and takes over a newer one.
+// Renews the serving lease: reports to the leader in a loop which version of
+// the weights table this entry uses, and adopts newer versions.
 //
-// Control thread only, but for the answers, which it moves there itself.
+// Control thread only. Answers arrive on other threads and are posted to the
+// control thread.
 
 #include <functional>
 
@@ -25,7 +26,7 @@
   using load_function = std::function<std::uint64_t()>;
 
   // aOnTable is called with each new table before it is confirmed; aInProgress
-  // tells how many requests are in progress.
+  // returns the number of requests in progress.
   heartbeat_loop(boost::asio::io_context& aControl,
                  control_link& aLink,
                  serving_state& aServing,
@@ -38,7 +39,7 @@
 private:
   void Beat();
   void OnAnswer(const control_answer& aAnswer, time_point aSentAt);
-  // False if nothing was taken over.
+  // Returns false if no table was adopted.
   bool Adopt(const protocol::heartbeat_answer& aAnswer);
   void Again(duration aPause);
 
--- a/oriolewalk/entry/http_handler.cc
+++ b/oriolewalk/entry/http_handler.cc
@@ -18,12 +18,12 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
-// Renewals are useless later than the lease that they renew.
+// A renewal that takes longer than the lease it renews is useless.
 constexpr seconds kRenewPatience{ 2 };
-// An operator's change waits up to 4 s for "in force everywhere".
+// An operator's change waits up to 4 s until it is in force everywhere.
 constexpr seconds kOperatorPatience{ 8 };
 
-// Without the quotes that an ETag stands in.
+// Removes the quotes of an ETag.
 std::string
 Unquoted(std::string_view aText)
 {
@@ -35,7 +35,7 @@
 http::response
 LinkError(const error& aError)
 {
-  // Timeout: a change may or may not have been heard.
+  // After a timeout the change may or may not have been executed.
   const unsigned status =
     aError.mCode == error_code::Timeout ? kGatewayTimeout : kUnavailable;
   http::response answer = ErrorAnswer(status, aError);
@@ -76,7 +76,7 @@
       [](const auto&) {
         return ErrorAnswer(
           kUnavailable,
-          { error_code::Internal, "answer", {}, "a strange answer" });
+          { error_code::Internal, "answer", {}, "an unexpected answer" });
       },
     },
     aBody);
--- a/oriolewalk/entry/http_handler.h
+++ b/oriolewalk/entry/http_handler.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What the entry does with each HTTP request: callers' requests become live
-// calls, the rest questions to the leader.
+// Dispatches the entry's HTTP requests: callers' requests become live calls,
+// all others are forwarded to the leader.
 //
 // Owned by the entry process; called on any traffic thread.
 
@@ -45,7 +45,7 @@
   void HandleOperator(const http::request& aRequest,
                       const http::responder& aResponder);
   void HandleHealth(const http::responder& aResponder) const;
-  // Asks the leader and answers with what it says, by the kind of the answer.
+  // Sends the request to the leader and converts its answer to HTTP.
   void Pass(protocol::request_body aBody,
             duration aPatience,
             const http::responder& aResponder);
--- a/oriolewalk/entry/live_call.cc
+++ b/oriolewalk/entry/live_call.cc
@@ -19,11 +19,11 @@
   return { aClaim.mRef.mOrganisation, aClaim.mCallerKey, aClaim.mClass };
 }
 
-// A burst at one entry while control is idle belongs into the leader's queues,
-// where it is ordered by who pays; the entry refuses only what control could
-// not take. The leader carries about 4,000 requests a second, so 512 are an
-// eighth of a second of its work. Measured with 256 callers at one entry: with
-// a first limit of 64, nine of ten first tries were refused.
+// A burst at one entry while control is idle belongs in the leader's queues,
+// which order it by the organisations' shares. The entry refuses only what
+// control could not handle. The leader handles about 4,000 requests a second,
+// so 512 requests are an eighth of a second of its work. With an initial limit
+// of 64 and 256 callers at one entry, nine of ten first attempts were refused.
 traffic::entry_options
 LimiterOptions()
 {
@@ -172,8 +172,8 @@
   Do(mFlow.OnControl(aAnswer, now));
 }
 
-// Tells the limiter how control fares: its latency without the time that the
-// request waited for its turn, which says nothing of control itself.
+// Reports control's latency to the limiter, without the time that the request
+// spent in the queue, which does not depend on the load of control itself.
 void
 live_call::NoteClaim(const control_answer& aAnswer,
                      duration aTook,
@@ -187,7 +187,8 @@
     call.mResult =
       busy ? traffic::call_result::Refused : traffic::call_result::Accepted;
     const auto* granted = std::get_if<protocol::claim_granted>(claimed);
-    // A refusal may come after a wait that its answer doesn't tell.
+    // A refusal may follow a time in the queue that its answer does not
+    // contain.
     call.mLatency = granted != nullptr
                       ? aTook - milliseconds(granted->mWaitedMs)
                       : duration{};
@@ -258,7 +259,7 @@
   }
 }
 
-// Only what waits can be taken back; the leader answers the claim itself.
+// Only a queued request can be cancelled. The leader then answers the claim.
 void
 live_call::OnHangUp()
 {
--- a/oriolewalk/entry/live_call.h
+++ b/oriolewalk/entry/live_call.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// One caller's request in flight: carries out the steps of its request_flow.
+// One caller's request in flight: executes the steps of its request_flow.
 //
-// Lives as long as something will call it back (the link, the client or the
-// caller's connection). Callbacks come from several threads, but one at a
-// time: each step waits for one thing.
+// It exists while a callback is pending (of the link, the client or the
+// caller's connection). Callbacks come from several threads, but only one at a
+// time, because each step waits for a single event.
 
 #include <cstdint>
 #include <memory>
@@ -21,8 +21,8 @@
 
 namespace oriolewalk::entry {
 
-// The entry's limiter and retry budgets, shared by all traffic threads; a short
-// lock around O(1) work.
+// The entry's limiter and retry budgets, shared by all traffic threads. Each
+// call holds a lock for O(1) work.
 class shared_limits
 {
 public:
@@ -44,9 +44,10 @@
   std::map<service_id, traffic::retry_budget> mBudgets;
 };
 
-// One admitted call. It ends once: a request whose attempt did not start claims
-// again, and each of its claims would otherwise take another call's place out
-// of the limiter's count, which then admits more than control can take.
+// One admitted call, which the limiter counts until its first claim ends. A
+// request whose attempt did not start claims again. If each claim were reported
+// to the limiter, it would subtract other calls from its count and admit more
+// than control can handle.
 class admission
 {
 public:
@@ -64,14 +65,14 @@
   bool mEnded = false;
 };
 
-// What all calls of an entry use.
+// The services that all calls of an entry share.
 struct call_services
 {
   control_link& mLink;
   http::client& mClient;
   shared_limits& mLimits;
   observe::event_log& mEvents;
-  observe::quantiles& mAdded; // milliseconds by us, over what the target took
+  observe::quantiles& mAdded; // entry and control, without the target
   observe::counter& mForwarded;
   observe::counter& mGivenBack;
 };
--- a/oriolewalk/entry/platform_api.h
+++ b/oriolewalk/entry/platform_api.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The JSON of targets and workers as questions to control, and the answers
-// back (docs/PROTOCOLS.md). Pure functions.
+// Converts the JSON of targets and workers to requests to control, and the
+// answers back to HTTP (docs/PROTOCOLS.md). Pure functions.
 
 #include <string>
 #include <string_view>
--- a/oriolewalk/entry/request_flow.cc
+++ b/oriolewalk/entry/request_flow.cc
@@ -40,8 +40,8 @@
   return AskClaim(aNow);
 }
 
-// The leader answers by the deadline; a little longer lets its refusal arrive,
-// which says more than our own "no answer".
+// The leader answers by the deadline. The grace period lets its refusal arrive,
+// which is more specific than a timeout of the entry.
 flow_step
 request_flow::AskClaim(time_point aNow)
 {
@@ -76,7 +76,7 @@
   }
   const auto* claimed = std::get_if<protocol::claim_answer>(&*aAnswer);
   if (claimed == nullptr) {
-    return GiveBack(BusyAnswer("control gave a strange answer", kAskAgain),
+    return GiveBack(BusyAnswer("control sent an unexpected answer", kAskAgain),
                     aNow);
   }
   return OnClaimAnswer(*claimed, aNow);
@@ -109,8 +109,8 @@
     aAnswer);
 }
 
-// A pause between grant and sending may have eaten the deadline: by then the
-// leader may have given this entry up and freed the slot.
+// A pause between the grant and the sending may outlast the deadline. By then
+// the leader may have declared this entry lost and freed the slot.
 flow_step
 request_flow::OnGranted(const protocol::claim_granted& aGranted,
                         time_point aNow)
@@ -125,8 +125,8 @@
   return forward{ aGranted.mAddress, aGranted.mAttempt, mDeadline };
 }
 
-// Whether the claim was granted isn't known, and nothing was sent on the
-// strength of it: the report makes the key free again.
+// It is not known whether the claim was granted, but nothing was sent to a
+// target. The report releases the key.
 flow_step
 request_flow::GiveBack(http::response aResponse, time_point aNow)
 {
--- a/oriolewalk/entry/request_flow.h
+++ b/oriolewalk/entry/request_flow.h
@@ -5,17 +5,18 @@
 //   claim -> granted -> forward to the target -> report -> answer
 //         -> known / busy / not run / mismatch -> answer
 //
-// A state machine without I/O: the shell tells it what came back, and carries
-// out the step that it returns. It keeps these rules:
-//  - nothing is sent to a target without a grant, nor after the deadline;
-//  - another attempt only where the last one surely did not start;
-//  - the end of every granted attempt is reported, and a claim whose grant was
-//    lost is given back, so that no slot stays taken;
-//  - the caller is told "completed" once that is recorded, so that whoever
-//    asks again hears the same; but a whole answer is not kept from its caller
-//    for longer than kReportPatience where control can't be reached.
+// A state machine without I/O: its user passes in each result and executes the
+// step that is returned. It guarantees:
+//  - Nothing is sent to a target without a grant or after the deadline.
+//  - A further attempt is made only if the last one is known not to have
+//    started.
+//  - The end of every granted attempt is reported, and a claim whose grant was
+//    lost is released, so that no slot stays occupied.
+//  - The caller gets "completed" only after that is recorded, so that a retry
+//    gets the same answer. If control can't be reached, a complete answer is
+//    delayed by at most kReportTimeout.
 //
-// One thread at a time; owned by the shell's call.
+// One thread at a time; owned by the live call.
 
 #include <cstdint>
 #include <optional>
@@ -32,19 +33,20 @@
 
 // Covers a leader change (under 1.5 s), after which the report goes through.
 constexpr milliseconds kReportPatience{ 2500 };
-// A report that its caller no longer waits for is retried for this long. After
-// the grace of an owner the leader has recorded the attempt's end.
+// A report that continues after the caller's answer is retried for this long.
+// The leader itself records the attempt's end after the grace period of an
+// owner.
 constexpr seconds kBackgroundPatience{ 15 };
 constexpr std::uint32_t kMostAttempts = 3;
 
-// Ask control; give up at mUntil.
+// Send the request to control; time out at mUntil.
 struct ask_control
 {
   protocol::request_body mBody;
   time_point mUntil;
 };
 
-// Send the request to the target; give up at mUntil.
+// Send the request to the target; time out at mUntil.
 struct forward
 {
   std::string mAddress;
@@ -52,7 +54,7 @@
   time_point mUntil;
 };
 
-// Answer the caller. mReport is a report that goes on in the background.
+// Answer the caller. mReport is a report that continues in the background.
 struct answer_caller
 {
   http::response mResponse;
@@ -64,13 +66,14 @@
 class request_flow
 {
 public:
-  // aClaim.mToken is the first attempt's; aSeed gives the later ones'.
+  // aClaim.mToken is the token of the first attempt. The tokens of later
+  // attempts are derived from aSeed.
   request_flow(protocol::claim_request aClaim,
                time_point aDeadline,
                std::uint64_t aSeed);
 
   flow_step Start(time_point aNow);
-  // An answer to the last ask_control.
+  // Handles the answer to the last control_request.
   flow_step OnControl(const result<protocol::answer_body>& aAnswer,
                       time_point aNow);
   // aMayRetry: the retry budget allows another attempt if this one did not
@@ -80,7 +83,7 @@
                      time_point aNow);
 
   [[nodiscard]] const protocol::claim_request& Claim() const { return mClaim; }
-  // What came of the last claim, for the entry limiter.
+  // Whether the last claim was granted and its attempt is in progress.
   [[nodiscard]] bool IsForwarding() const
   {
     return mStage == stage::Forwarding;
@@ -116,7 +119,7 @@
   std::uint32_t mAttempts = 0;
   time_point mSentAt{};
   protocol::finish_request mReport;
-  http::response mThen; // for the caller, once reported
+  http::response mThen; // sent once reported
   bool mRetry = false;  // claim again once reported
 };
 
--- a/oriolewalk/entry/serving_state.h
+++ b/oriolewalk/entry/serving_state.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// What traffic threads ask before they admit a request, and the control thread
-// sets: the serving lease, and whether the entry is stopping.
+// The serving lease, and whether the entry is stopping. The control thread sets
+// them; traffic threads check them before they admit a request.
 //
-// An entry that can't confirm its weights version within the lease admits
-// nothing: a cut-off entry would otherwise act on an old table for as long as
-// the cut lasts. Any thread.
+// An entry that can't confirm its weights version within the lease admits no
+// requests. Otherwise a partitioned entry would use an old table until the
+// partition ends. Any thread.
 
 #include <atomic>
 #include <cstdint>
@@ -31,7 +31,7 @@
   }
   [[nodiscard]] bool IsDraining() const { return mDraining.load(); }
   [[nodiscard]] std::uint64_t Version() const { return mVersion.load(); }
-  // Empty if the balancer may send work here.
+  // Returns an empty text if the balancer may send requests to this entry.
   [[nodiscard]] std::string_view Unhealthy(time_point aNow) const
   {
     if (IsDraining()) {
--- a/testing/entry/entry_test.cc
+++ b/testing/entry/entry_test.cc
@@ -22,9 +22,9 @@
 
 TEST_CASE("a call that claims twice counts once against the limiter")
 {
-  // Two calls are admitted. One of them claims again after an attempt that did
-  // not start; the end of its second claim must not be taken for the end of
-  // the other call, or the entry lets more calls in than control can take.
+  // Two calls are admitted, and one of them claims again after an attempt that
+  // did not start. If the end of its second claim counted as the end of the
+  // other call, the entry would admit more calls than control can handle.
   shared_limits limits(1);
   REQUIRE_FALSE(limits.Admit(Claim(), kStart).mRefused);
   REQUIRE_FALSE(limits.Admit(Claim(), kStart).mRefused);
@@ -37,7 +37,8 @@
   CHECK(limits.InProgress() == 0);
 }
 
-TEST_CASE("one failed leader moves the choice once, whoever reports it")
+TEST_CASE(
+  "a leader's failure advances the choice once, however often it is reported")
 {
   wire::leader_choice choice({ "a:1", "b:1", "c:1" });
   choice.Failed("a:1");
@@ -83,7 +84,7 @@
   CHECK(bare->mClaim.mRef.ToString() == "default/made");
 }
 
-TEST_CASE("a wrong header is named, and nothing is claimed")
+TEST_CASE("an invalid header is rejected and named in the error")
 {
   const auto problem = [](const http::header& aHeader) {
     const auto call = ParseCall(Call("/services/fees/", { aHeader }), "made");
@@ -99,7 +100,7 @@
   CHECK_FALSE(ParseCall(Call("/services/"), "made"));
 }
 
-TEST_CASE("the same key with another body is other work")
+TEST_CASE("the same key with another body has another fingerprint")
 {
   http::request first = Call("/services/fees/pay");
   http::request second = first;
@@ -111,7 +112,7 @@
   CHECK(one->mClaim.mFingerprint == ParseCall(first, "k")->mClaim.mFingerprint);
 }
 
-TEST_CASE("what workers and targets send is checked field by field")
+TEST_CASE("requests of workers and targets are validated field by field")
 {
   CHECK(ParseTarget("t1",
                     R"({"service":"fees","address":"127.0.0.1:9",)"
