--- a/oriolewalk/entry/answers.cc
+++ b/oriolewalk/entry/answers.cc
@@ -23,7 +23,7 @@
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kUnavailable = 503;
 // Retry-After for a caller whose key is still running.
-constexpr milliseconds kAskAgain{ 1000 };
+constexpr milliseconds kRunningRetryAfter{ 1000 };
 
 // Headers that apply to one connection only (RFC 9110, section 7.6.1).
 constexpr std::array<std::string_view, 8> kHopByHop = {
@@ -31,7 +31,7 @@
   "trailer",    "transfer-encoding", "upgrade",          "content-length",
 };
 
-struct kept_answer
+struct stored_answer
 {
   unsigned mStatus = 0;
   std::vector<std::pair<std::string, std::string>> mHeaders;
@@ -110,7 +110,8 @@
         OutcomeAnswer(kConflict,
                       "running",
                       "an earlier attempt with this key is in progress");
-      answer.mHeaders.push_back({ "Retry-After", RetryAfter(kAskAgain) });
+      answer.mHeaders.push_back(
+        { "Retry-After", RetryAfter(kRunningRetryAfter) });
       return answer;
     }
     case ledger::request_state::NotRun:
@@ -122,9 +123,9 @@
       break;
   }
   http::response answer;
-  auto kept = DecodeAnswer(aKnown.mAnswer);
-  if (aKnown.mAnswerKept && kept) {
-    answer = CompletedAnswer(std::move(*kept));
+  auto stored = DecodeAnswer(aKnown.mAnswer);
+  if (aKnown.mAnswerKept && stored) {
+    answer = CompletedAnswer(std::move(*stored));
   } else {
     answer.mStatus = kGone;
     answer.mHeaders = { { std::string(kOutcomeHeader), "completed" },
@@ -164,24 +165,24 @@
 bytes
 EncodeAnswer(const http::response& aResponse)
 {
-  kept_answer kept{ aResponse.mStatus, {}, aResponse.mBody };
+  stored_answer stored{ aResponse.mStatus, {}, aResponse.mBody };
   for (const http::header& header : aResponse.mHeaders) {
-    kept.mHeaders.emplace_back(header.mName, header.mValue);
+    stored.mHeaders.emplace_back(header.mName, header.mValue);
   }
-  return Encode(kept);
+  return Encode(stored);
 }
 
 result<http::response>
 DecodeAnswer(std::string_view aBytes)
 {
-  auto kept = Decode<kept_answer>(aBytes, "reading a stored answer");
-  if (!kept) {
-    return Fail(kept.error());
+  auto stored = Decode<stored_answer>(aBytes, "reading a stored answer");
+  if (!stored) {
+    return Fail(stored.error());
   }
   http::response answer;
-  answer.mStatus = kept->mStatus;
-  answer.mBody = std::move(kept->mBody);
-  for (auto& [name, value] : kept->mHeaders) {
+  answer.mStatus = stored->mStatus;
+  answer.mBody = std::move(stored->mBody);
+  for (auto& [name, value] : stored->mHeaders) {
     answer.mHeaders.push_back({ std::move(name), std::move(value) });
   }
   return answer;
--- a/oriolewalk/entry/caller_api.cc
+++ b/oriolewalk/entry/caller_api.cc
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr std::string_view kStep = "reading the request";
-constexpr std::string_view kServices = "/services/";
-constexpr std::size_t kMostName = 128;
+constexpr std::string_view kServicesPrefix = "/services/";
+constexpr std::size_t kMaxNameBytes = 128;
 constexpr std::uint32_t kDefaultDeadlineMs = 10'000;
 
 // Headers that the entry sets itself or that apply to one connection only.
@@ -39,9 +39,9 @@
 bool
 IsName(std::string_view aText)
 {
-  return !aText.empty() && aText.size() <= kMostName &&
-         std::ranges::all_of(aText, [](char aOne) {
-           return aOne > ' ' && aOne < '\x7f' && aOne != '/' && aOne != '"';
+  return !aText.empty() && aText.size() <= kMaxNameBytes &&
+         std::ranges::all_of(aText, [](char aByte) {
+           return aByte > ' ' && aByte < '\x7f' && aByte != '/' && aByte != '"';
          });
 }
 
@@ -75,10 +75,11 @@
 // others itself.
 result<void>
 ReadHeaders(const http::request& aRequest,
-            const std::string& aMadeKey,
+            const std::string& aGeneratedKey,
             protocol::claim_request& aClaim)
 {
-  const std::string key(aRequest.Find("Idempotency-Key").value_or(aMadeKey));
+  const std::string key(
+    aRequest.Find("Idempotency-Key").value_or(aGeneratedKey));
   const std::string organisation(
     aRequest.Find("Oriole-Organisation").value_or("default"));
   if (!IsName(key)) {
@@ -113,14 +114,14 @@
 bool
 IsServicePath(std::string_view aTarget)
 {
-  return aTarget.starts_with(kServices);
+  return aTarget.starts_with(kServicesPrefix);
 }
 
 result<parsed_call>
-ParseCall(const http::request& aRequest, const std::string& aMadeKey)
+ParseCall(const http::request& aRequest, const std::string& aGeneratedKey)
 {
   std::string_view rest = aRequest.mTarget;
-  rest.remove_prefix(std::min(kServices.size(), rest.size()));
+  rest.remove_prefix(std::min(kServicesPrefix.size(), rest.size()));
   const std::size_t end = rest.find_first_of("/?");
   const std::string_view service = rest.substr(0, end);
   if (!IsName(service)) {
@@ -133,7 +134,8 @@
     call.mTargetPath.insert(0, 1, '/');
   }
   call.mClaim.mService = service_id(std::string(service));
-  if (const auto read = ReadHeaders(aRequest, aMadeKey, call.mClaim); !read) {
+  if (const auto read = ReadHeaders(aRequest, aGeneratedKey, call.mClaim);
+      !read) {
     return Fail(read.error());
   }
   std::uint32_t deadline = kDefaultDeadlineMs;
@@ -151,10 +153,10 @@
 }
 
 http::request
-ForTarget(const http::request& aRequest,
-          const parsed_call& aCall,
-          std::uint32_t aAttempt,
-          milliseconds aLeft)
+MakeTargetRequest(const http::request& aRequest,
+                  const parsed_call& aCall,
+                  std::uint32_t aAttempt,
+                  milliseconds aTimeLeft)
 {
   http::request request;
   request.mMethod = aRequest.mMethod;
@@ -172,7 +174,7 @@
     { "Oriole-Request", aCall.mClaim.mRef.ToString() });
   request.mHeaders.push_back({ "Oriole-Attempt", std::to_string(aAttempt) });
   request.mHeaders.push_back(
-    { "Oriole-Deadline-Ms", std::to_string(aLeft.count()) });
+    { "Oriole-Deadline-Ms", std::to_string(aTimeLeft.count()) });
   return request;
 }
 
--- a/oriolewalk/entry/caller_api.h
+++ b/oriolewalk/entry/caller_api.h
@@ -27,14 +27,14 @@
 // aGeneratedKey is used if the caller sent no key. Errors: InvalidArgument,
 // naming the invalid header.
 result<parsed_call>
-ParseCall(const http::request& aRequest, const std::string& aMadeKey);
+ParseCall(const http::request& aRequest, const std::string& aGeneratedKey);
 
 // Builds the request that is sent to the target. aTimeLeft is the time until
 // the deadline.
 http::request
-ForTarget(const http::request& aRequest,
-          const parsed_call& aCall,
-          std::uint32_t aAttempt,
-          milliseconds aLeft);
+MakeTargetRequest(const http::request& aRequest,
+                  const parsed_call& aCall,
+                  std::uint32_t aAttempt,
+                  milliseconds aTimeLeft);
 
 } // namespace oriolewalk::entry
--- a/oriolewalk/entry/control_link.cc
+++ b/oriolewalk/entry/control_link.cc
@@ -13,12 +13,14 @@
 
 namespace {
 
-constexpr milliseconds kLeastPause{ 10 };
-constexpr milliseconds kMostPause{ 60 };
+constexpr milliseconds kMinRetryDelay{ 10 };
+constexpr milliseconds kMaxRetryDelay{ 60 };
 
 // A retried claim has less time left than at its first attempt.
 void
-Shorten(protocol::request_body& aBody, time_point aUntil, time_point aNow)
+UpdateDeadline(protocol::request_body& aBody,
+               time_point aUntil,
+               time_point aNow)
 {
   if (auto* claim = std::get_if<protocol::claim_request>(&aBody)) {
     const auto left =
@@ -44,63 +46,63 @@
 }
 
 void
-control_link::Ask(protocol::request_body aBody,
-                  time_point aUntil,
-                  control_callback aDone)
+control_link::Send(protocol::request_body aBody,
+                   time_point aUntil,
+                   control_callback aDone)
 {
-  Try(std::make_shared<question>(question{
+  SendAttempt(std::make_shared<pending_request>(pending_request{
     std::move(aBody), runtime_clock::now(), aUntil, std::move(aDone) }));
 }
 
 void
-control_link::Try(const std::shared_ptr<question>& aQuestion)
+control_link::SendAttempt(const std::shared_ptr<pending_request>& aRequest)
 {
   const time_point now = runtime_clock::now();
-  if (now >= aQuestion->mUntil) {
-    aQuestion->mDone(Fail(
+  if (now >= aRequest->mUntil) {
+    aRequest->mDone(Fail(
       error_code::Timeout, "calling control", "no leader answered in time"));
     return;
   }
-  Shorten(aQuestion->mBody, aQuestion->mUntil, now);
+  UpdateDeadline(aRequest->mBody, aRequest->mUntil, now);
   std::string peer;
   {
     const std::lock_guard lock(mMutex);
     peer = mChoice.Current();
   }
-  bytes body = Encode(protocol::request{ mEvents.Stamp(), aQuestion->mBody });
+  bytes body = Encode(protocol::request{ mEvents.Stamp(), aRequest->mBody });
   mRpc.Call(peer,
             protocol::kControlCall,
             std::move(body),
-            aQuestion->mUntil - now,
-            [this, aQuestion, peer](result<bytes> aReply) {
-              OnReply(aQuestion, peer, std::move(aReply));
+            aRequest->mUntil - now,
+            [this, aRequest, peer](result<bytes> aReply) {
+              OnReply(aRequest, peer, std::move(aReply));
             });
 }
 
 void
-control_link::OnReply(const std::shared_ptr<question>& aQuestion,
+control_link::OnReply(const std::shared_ptr<pending_request>& aRequest,
                       const std::string& aPeer,
                       result<bytes> aReply)
 {
   if (aReply) {
     auto answer = Decode<protocol::answer>(*aReply, "reading control's answer");
     if (!answer) {
-      aQuestion->mDone(Fail(answer.error().With(aPeer)));
+      aRequest->mDone(Fail(answer.error().With(aPeer)));
       return;
     }
     mEvents.Merge(answer->mStamp);
-    aQuestion->mDone(std::move(answer->mBody));
+    aRequest->mDone(std::move(answer->mBody));
     return;
   }
   const error& problem = aReply.error();
-  const bool elsewhere = problem.mCode == error_code::NotLeader ||
-                         problem.mCode == error_code::Unavailable ||
-                         problem.mCode == error_code::Timeout;
-  if (!elsewhere) {
-    aQuestion->mDone(Fail(problem));
+  const bool shouldRetry = problem.mCode == error_code::NotLeader ||
+                           problem.mCode == error_code::Unavailable ||
+                           problem.mCode == error_code::Timeout;
+  if (!shouldRetry) {
+    aRequest->mDone(Fail(problem));
     return;
   }
-  duration pause{};
+  duration delay{};
   {
     const std::lock_guard lock(mMutex);
     if (problem.mCode == error_code::NotLeader) {
@@ -108,29 +110,29 @@
     } else {
       mChoice.Failed(aPeer);
     }
-    pause = Pause();
+    delay = RetryDelay();
   }
   ++mRetries;
-  TryLater(aQuestion, pause);
+  RetryAfter(aRequest, delay);
 }
 
 duration
-control_link::Pause()
+control_link::RetryDelay()
 {
   constexpr auto kSpan =
-    static_cast<std::uint64_t>((kMostPause - kLeastPause).count());
-  return kLeastPause + milliseconds(mRandom.Below(kSpan));
+    static_cast<std::uint64_t>((kMaxRetryDelay - kMinRetryDelay).count());
+  return kMinRetryDelay + milliseconds(mRandom.Below(kSpan));
 }
 
 void
-control_link::TryLater(const std::shared_ptr<question>& aQuestion,
-                       duration aPause)
+control_link::RetryAfter(const std::shared_ptr<pending_request>& aRequest,
+                         duration aDelay)
 {
   auto timer = std::make_shared<runtime_timer>(mContext);
-  timer->expires_after(aPause);
-  timer->async_wait([this, timer, aQuestion](const auto& aProblem) {
+  timer->expires_after(aDelay);
+  timer->async_wait([this, timer, aRequest](const auto& aProblem) {
     if (!aProblem) {
-      Try(aQuestion);
+      SendAttempt(aRequest);
     }
   });
 }
--- a/oriolewalk/entry/control_link.h
+++ b/oriolewalk/entry/control_link.h
@@ -43,29 +43,30 @@
 
   // Errors: Timeout if no answer arrived by aUntil, in which case the request
   // may or may not have been executed; otherwise the leader's error.
-  void Ask(protocol::request_body aBody,
-           time_point aUntil,
-           control_callback aDone);
+  void Send(protocol::request_body aBody,
+            time_point aUntil,
+            control_callback aDone);
 
   // Number of attempts that were repeated.
   [[nodiscard]] std::uint64_t Retries() const { return mRetries; }
   void Stop() { mRpc.Stop(); }
 
 private:
-  struct question
+  struct pending_request
   {
     protocol::request_body mBody;
-    time_point mAskedAt;
+    time_point mStartedAt;
     time_point mUntil;
     control_callback mDone;
   };
 
-  void Try(const std::shared_ptr<question>& aQuestion);
-  void OnReply(const std::shared_ptr<question>& aQuestion,
+  void SendAttempt(const std::shared_ptr<pending_request>& aRequest);
+  void OnReply(const std::shared_ptr<pending_request>& aRequest,
                const std::string& aPeer,
                result<bytes> aReply);
-  void TryLater(const std::shared_ptr<question>& aQuestion, duration aPause);
-  duration Pause();
+  void RetryAfter(const std::shared_ptr<pending_request>& aRequest,
+                  duration aDelay);
+  duration RetryDelay();
 
   boost::asio::io_context& mContext;
   observe::event_log& mEvents;
--- a/oriolewalk/entry/entry_process.cc
+++ b/oriolewalk/entry/entry_process.cc
@@ -31,23 +31,23 @@
 using observe::Log;
 using observe::log_level;
 
-constexpr milliseconds kStopPoll{ 20 };
+constexpr milliseconds kStopPollInterval{ 20 };
 
 std::uint64_t
 DrawSeed()
 {
   std::random_device device;
-  constexpr unsigned kHalf = 32;
-  return (std::uint64_t{ device() } << kHalf) | device();
+  constexpr unsigned kHalfBits = 32;
+  return (std::uint64_t{ device() } << kHalfBits) | device();
 }
 
 std::vector<std::string>
-Texts(const std::vector<settings::address>& aAddresses)
+ToStrings(const std::vector<settings::address>& aAddresses)
 {
-  std::vector<std::string> texts;
+  std::vector<std::string> strings;
   std::ranges::transform(
-    aAddresses, std::back_inserter(texts), &settings::address::ToString);
-  return texts;
+    aAddresses, std::back_inserter(strings), &settings::address::ToString);
+  return strings;
 }
 
 class entry_process
@@ -59,7 +59,7 @@
     , mEvents(std::move(aEvents))
     , mSignals(mControl, SIGTERM, SIGINT)
     , mStopTimer(mControl)
-    , mLink(mTraffic, *mEvents, Texts(aSettings.mControls), DrawSeed())
+    , mLink(mTraffic, *mEvents, ToStrings(aSettings.mControls), DrawSeed())
     , mClient(mTraffic, { .mMaxConnections = aSettings.mTargetConnections })
     , mLimits(DrawSeed())
     , mServices{ mLink,
@@ -74,23 +74,23 @@
                  mMetrics.Counter(
                    "oriole_entry_late_reports_total",
                    "ends of attempts reported after the caller's answer") }
-    , mFront({ OwningEntry(), data_centre_id(aSettings.mDataCentre) },
-             mServices,
-             mServing,
-             mMetrics,
-             DrawSeed())
+    , mHandler({ OwningEntry(), data_centre_id(aSettings.mDataCentre) },
+               mServices,
+               mServing,
+               mMetrics,
+               DrawSeed())
     , mServer(
         mTraffic,
         aSettings.mListen,
         {},
         [this](http::request aRequest, const http::responder& aResponder) {
-          mFront.Handle(std::move(aRequest), aResponder);
+          mHandler.Handle(std::move(aRequest), aResponder);
         })
     , mHeartbeats(
         mControl,
         mLink,
         mServing,
-        Beat(),
+        InitialHeartbeat(),
         [this](const weights::weights_table& aTable) {
           mLimits.SetPolicy(protocol::SharePolicy(aTable));
         },
@@ -111,13 +111,13 @@
         { { "listen", mSettings.mListen.ToString() } });
     mSignals.async_wait([this](const auto& aProblem, int /*aSignal*/) {
       if (!aProblem) {
-        StartStopping();
+        StartShutdown();
       }
     });
     mHeartbeats.Start();
-    const auto keep = boost::asio::make_work_guard(mTraffic);
+    const auto workGuard = boost::asio::make_work_guard(mTraffic);
     std::vector<std::thread> threads;
-    for (std::uint64_t made = 0; made < mSettings.mThreads; ++made) {
+    for (std::uint64_t index = 0; index < mSettings.mThreads; ++index) {
       threads.emplace_back([this]() { mTraffic.run(); });
     }
     mControl.run();
@@ -139,18 +139,18 @@
     return { instance_id(mSettings.mInstance), mBoot };
   }
 
-  protocol::heartbeat Beat()
+  protocol::heartbeat InitialHeartbeat()
   {
-    protocol::heartbeat beat;
-    beat.mOwner = OwningEntry();
-    beat.mAddress = mSettings.mListen.ToString();
-    beat.mDataCentre = data_centre_id(mSettings.mDataCentre);
-    return beat;
+    protocol::heartbeat heartbeat;
+    heartbeat.mOwner = OwningEntry();
+    heartbeat.mAddress = mSettings.mListen.ToString();
+    heartbeat.mDataCentre = data_centre_id(mSettings.mDataCentre);
+    return heartbeat;
   }
 
   // Keeps accepting connections until the balancer has noticed the failing
   // health check. A connection refused earlier would lose a caller's request.
-  void StartStopping()
+  void StartShutdown()
   {
     Log(log_level::Info,
         "stopping",
@@ -176,7 +176,7 @@
       mControl.stop();
       return;
     }
-    mStopTimer.expires_after(kStopPoll);
+    mStopTimer.expires_after(kStopPollInterval);
     mStopTimer.async_wait([this](const auto& aProblem) {
       if (!aProblem) {
         WaitForRequests();
@@ -198,7 +198,7 @@
   http::client mClient;
   shared_limits mLimits;
   call_services mServices;
-  http_front mFront;
+  http_handler mHandler;
   http::server mServer;
   heartbeat_loop mHeartbeats;
 };
--- a/oriolewalk/entry/heartbeat_loop.cc
+++ b/oriolewalk/entry/heartbeat_loop.cc
@@ -13,21 +13,21 @@
 
 // Twice the time for which the leader holds a heartbeat. After that, the
 // heartbeat or its answer is considered lost.
-constexpr milliseconds kBeatTimeout{ 2 * protocol::kHeartbeatHoldMs };
-constexpr milliseconds kPause{ 20 };
+constexpr milliseconds kHeartbeatTimeout{ 2 * protocol::kHeartbeatHoldMs };
+constexpr milliseconds kRetryDelay{ 20 };
 
 } // namespace
 
 heartbeat_loop::heartbeat_loop(boost::asio::io_context& aControl,
                                control_link& aLink,
                                serving_state& aServing,
-                               protocol::heartbeat aBeat,
+                               protocol::heartbeat aHeartbeat,
                                table_function aOnTable,
-                               load_function aInProgress)
+                               count_function aInProgress)
   : mControl(aControl)
   , mLink(aLink)
   , mServing(aServing)
-  , mBeat(std::move(aBeat))
+  , mHeartbeat(std::move(aHeartbeat))
   , mOnTable(std::move(aOnTable))
   , mInProgress(std::move(aInProgress))
   , mTimer(aControl)
@@ -35,17 +35,18 @@
 }
 
 void
-heartbeat_loop::Beat()
+heartbeat_loop::SendHeartbeat()
 {
   const time_point now = runtime_clock::now();
-  mBeat.mWeightsVersion = mLease.Version();
-  mBeat.mDraining = mServing.IsDraining();
-  mBeat.mInProgress = mInProgress();
-  mLink.Ask(mBeat, now + kBeatTimeout, [this, now](control_answer aAnswer) {
-    boost::asio::post(mControl, [this, now, answer = std::move(aAnswer)]() {
-      OnAnswer(answer, now);
+  mHeartbeat.mWeightsVersion = mLease.Version();
+  mHeartbeat.mDraining = mServing.IsDraining();
+  mHeartbeat.mInProgress = mInProgress();
+  mLink.Send(
+    mHeartbeat, now + kHeartbeatTimeout, [this, now](control_answer aAnswer) {
+      boost::asio::post(mControl, [this, now, answer = std::move(aAnswer)]() {
+        OnAnswer(answer, now);
+      });
     });
-  });
 }
 
 void
@@ -54,26 +55,26 @@
   const auto* answer =
     aAnswer ? std::get_if<protocol::heartbeat_answer>(&*aAnswer) : nullptr;
   if (answer == nullptr) {
-    Again(kPause);
+    RetryAfter(kRetryDelay);
     return;
   }
   if (answer->mGranted) {
     // The lease starts when the heartbeat was sent, and only for the confirmed
     // version. The link may have retried; the time of the first attempt is the
     // safe choice.
-    mLease.Confirmed(mBeat.mWeightsVersion, aSentAt);
+    mLease.Confirmed(mHeartbeat.mWeightsVersion, aSentAt);
     mServing.SetLease(mLease.Until(), mLease.Version());
-  } else if (!Adopt(*answer)) {
+  } else if (!AdoptTable(*answer)) {
     // The table is older or unreadable. An immediate retry would be a busy
     // loop.
-    Again(kPause);
+    RetryAfter(kRetryDelay);
     return;
   }
-  Beat();
+  SendHeartbeat();
 }
 
 bool
-heartbeat_loop::Adopt(const protocol::heartbeat_answer& aAnswer)
+heartbeat_loop::AdoptTable(const protocol::heartbeat_answer& aAnswer)
 {
   if (!aAnswer.mTable) {
     return false;
@@ -93,12 +94,12 @@
 }
 
 void
-heartbeat_loop::Again(duration aPause)
+heartbeat_loop::RetryAfter(duration aDelay)
 {
-  mTimer.expires_after(aPause);
+  mTimer.expires_after(aDelay);
   mTimer.async_wait([this](const auto& aProblem) {
     if (!aProblem) {
-      Beat();
+      SendHeartbeat();
     }
   });
 }
--- a/oriolewalk/entry/heartbeat_loop.h
+++ b/oriolewalk/entry/heartbeat_loop.h
@@ -23,32 +23,32 @@
 {
 public:
   using table_function = std::function<void(const weights::weights_table&)>;
-  using load_function = std::function<std::uint64_t()>;
+  using count_function = std::function<std::uint64_t()>;
 
   // aOnTable is called with each new table before it is confirmed; aInProgress
   // returns the number of requests in progress.
   heartbeat_loop(boost::asio::io_context& aControl,
                  control_link& aLink,
                  serving_state& aServing,
-                 protocol::heartbeat aBeat,
+                 protocol::heartbeat aHeartbeat,
                  table_function aOnTable,
-                 load_function aInProgress);
+                 count_function aInProgress);
 
-  void Start() { Beat(); }
+  void Start() { SendHeartbeat(); }
 
 private:
-  void Beat();
+  void SendHeartbeat();
   void OnAnswer(const control_answer& aAnswer, time_point aSentAt);
   // Returns false if no table was adopted.
-  bool Adopt(const protocol::heartbeat_answer& aAnswer);
-  void Again(duration aPause);
+  bool AdoptTable(const protocol::heartbeat_answer& aAnswer);
+  void RetryAfter(duration aDelay);
 
   boost::asio::io_context& mControl;
   control_link& mLink;
   serving_state& mServing;
-  protocol::heartbeat mBeat;
+  protocol::heartbeat mHeartbeat;
   table_function mOnTable;
-  load_function mInProgress;
+  count_function mInProgress;
   weights::serving_lease mLease;
   runtime_timer mTimer;
 };
--- a/oriolewalk/entry/http_handler.cc
+++ b/oriolewalk/entry/http_handler.cc
@@ -19,13 +19,13 @@
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
 // A renewal that takes longer than the lease it renews is useless.
-constexpr seconds kRenewPatience{ 2 };
+constexpr seconds kRenewTimeout{ 2 };
 // An operator's change waits up to 4 s until it is in force everywhere.
-constexpr seconds kOperatorPatience{ 8 };
+constexpr seconds kOperatorTimeout{ 8 };
 
 // Removes the quotes of an ETag.
 std::string
-Unquoted(std::string_view aText)
+WithoutQuotes(std::string_view aText)
 {
   const bool quoted =
     aText.size() >= 2 && aText.front() == '"' && aText.back() == '"';
@@ -33,7 +33,7 @@
 }
 
 http::response
-LinkError(const error& aError)
+ControlErrorResponse(const error& aError)
 {
   // After a timeout the change may or may not have been executed.
   const unsigned status =
@@ -84,11 +84,11 @@
 
 } // namespace
 
-http_front::http_front(front_identity aIdentity,
-                       call_services& aServices,
-                       serving_state& aServing,
-                       observe::metric_registry& aMetrics,
-                       std::uint64_t aSeed)
+http_handler::http_handler(entry_identity aIdentity,
+                           call_services& aServices,
+                           serving_state& aServing,
+                           observe::metric_registry& aMetrics,
+                           std::uint64_t aSeed)
   : mIdentity(std::move(aIdentity))
   , mServices(aServices)
   , mServing(aServing)
@@ -96,14 +96,14 @@
   , mSeed(aSeed)
   , mCalls(aMetrics.Counter("oriole_entry_calls_total",
                             "callers' requests that arrived"))
-  , mRefusedHere(
+  , mRefusedByEntry(
       aMetrics.Counter("oriole_entry_refused_total",
                        "callers' requests that the entry refused by itself"))
 {
 }
 
 void
-http_front::Handle(http::request aRequest, const http::responder& aResponder)
+http_handler::Handle(http::request aRequest, const http::responder& aResponder)
 {
   if (IsServicePath(aRequest.mTarget)) {
     HandleCaller(std::move(aRequest), aResponder);
@@ -139,21 +139,21 @@
 }
 
 void
-http_front::HandleCaller(http::request aRequest,
-                         const http::responder& aResponder)
+http_handler::HandleCaller(http::request aRequest,
+                           const http::responder& aResponder)
 {
   mCalls.Add();
   const time_point now = runtime_clock::now();
   if (!mServing.HasLease(now)) {
-    mRefusedHere.Add();
+    mRefusedByEntry.Add();
     aResponder.Send(BusyAnswer("no contact with the leader", seconds(1)));
     return;
   }
-  random_source random(mSeed + mLast.fetch_add(1));
+  random_source random(mSeed + mCallCount.fetch_add(1));
   const std::uint64_t token = random.Bits();
-  const std::string madeKey =
+  const std::string generatedKey =
     mIdentity.mOwner.mInstance.Value() + "-" + std::to_string(token);
-  auto call = ParseCall(aRequest, madeKey);
+  auto call = ParseCall(aRequest, generatedKey);
   if (!call) {
     aResponder.Send(ErrorAnswer(kBadRequest, call.error()));
     return;
@@ -164,7 +164,7 @@
   const traffic::entry_verdict verdict =
     mServices.mLimits.Admit(call->mClaim, now);
   if (verdict.mRefused) {
-    mRefusedHere.Add();
+    mRefusedByEntry.Add();
     aResponder.Send(
       BusyAnswer(ToString(*verdict.mRefused), verdict.mRetryAfter));
     return;
@@ -179,14 +179,14 @@
 }
 
 void
-http_front::HandleTarget(const http::request& aRequest,
-                         const std::string& aTarget,
-                         const http::responder& aResponder)
+http_handler::HandleTarget(const http::request& aRequest,
+                           const std::string& aTarget,
+                           const http::responder& aResponder)
 {
   if (aRequest.mMethod == "DELETE") {
-    Pass(protocol::target_leaving{ target_id(aTarget) },
-         kRenewPatience,
-         aResponder);
+    ForwardToLeader(protocol::target_leaving{ target_id(aTarget) },
+                    kRenewTimeout,
+                    aResponder);
     return;
   }
   auto announced = ParseTarget(aTarget, aRequest.mBody);
@@ -194,14 +194,14 @@
     aResponder.Send(ErrorAnswer(kBadRequest, announced.error()));
     return;
   }
-  Pass(std::move(*announced), kRenewPatience, aResponder);
+  ForwardToLeader(std::move(*announced), kRenewTimeout, aResponder);
 }
 
 void
-http_front::HandleWorker(const http::request& aRequest,
-                         const std::string& aWorker,
-                         bool aPoll,
-                         const http::responder& aResponder)
+http_handler::HandleWorker(const http::request& aRequest,
+                           const std::string& aWorker,
+                           bool aPoll,
+                           const http::responder& aResponder)
 {
   if (aPoll) {
     auto poll = ParsePoll(aWorker, aRequest.mBody);
@@ -209,8 +209,8 @@
       aResponder.Send(ErrorAnswer(kBadRequest, poll.error()));
       return;
     }
-    const duration patience = kRenewPatience + milliseconds(poll->mWaitMs);
-    Pass(std::move(*poll), patience, aResponder);
+    const duration timeout = kRenewTimeout + milliseconds(poll->mWaitMs);
+    ForwardToLeader(std::move(*poll), timeout, aResponder);
     return;
   }
   auto announced = ParseWorker(aWorker, aRequest.mBody);
@@ -218,28 +218,29 @@
     aResponder.Send(ErrorAnswer(kBadRequest, announced.error()));
     return;
   }
-  Pass(std::move(*announced), kRenewPatience, aResponder);
+  ForwardToLeader(std::move(*announced), kRenewTimeout, aResponder);
 }
 
 void
-http_front::HandleOperator(const http::request& aRequest,
-                           const http::responder& aResponder)
+http_handler::HandleOperator(const http::request& aRequest,
+                             const http::responder& aResponder)
 {
-  protocol::operator_request asked;
-  asked.mMethod = aRequest.mMethod;
-  asked.mPath = aRequest.mTarget;
-  asked.mBody = aRequest.mBody;
-  asked.mKey =
+  protocol::operator_request request;
+  request.mMethod = aRequest.mMethod;
+  request.mPath = aRequest.mTarget;
+  request.mBody = aRequest.mBody;
+  request.mKey =
     std::string(aRequest.Find("Oriole-Change-Id")
                   .value_or(aRequest.Find("Idempotency-Key").value_or("")));
-  asked.mIfMatch = Unquoted(aRequest.Find("If-Match").value_or(""));
-  Pass(std::move(asked), kOperatorPatience, aResponder);
+  request.mIfMatch = WithoutQuotes(aRequest.Find("If-Match").value_or(""));
+  ForwardToLeader(std::move(request), kOperatorTimeout, aResponder);
 }
 
 void
-http_front::HandleHealth(const http::responder& aResponder) const
+http_handler::HandleHealth(const http::responder& aResponder) const
 {
-  const std::string_view unhealthy = mServing.Unhealthy(runtime_clock::now());
+  const std::string_view unhealthy =
+    mServing.UnhealthyReason(runtime_clock::now());
   http::response answer;
   answer.mStatus = unhealthy.empty() ? 200 : kUnavailable;
   answer.mBody = unhealthy.empty() ? "ok\n" : std::string(unhealthy) + "\n";
@@ -247,16 +248,17 @@
 }
 
 void
-http_front::Pass(protocol::request_body aBody,
-                 duration aPatience,
-                 const http::responder& aResponder)
+http_handler::ForwardToLeader(protocol::request_body aBody,
+                              duration aTimeout,
+                              const http::responder& aResponder)
 {
-  mServices.mLink.Ask(std::move(aBody),
-                      runtime_clock::now() + aPatience,
-                      [aResponder](const control_answer& aAnswer) {
-                        aResponder.Send(aAnswer ? ToResponse(*aAnswer)
-                                                : LinkError(aAnswer.error()));
-                      });
+  mServices.mLink.Send(std::move(aBody),
+                       runtime_clock::now() + aTimeout,
+                       [aResponder](const control_answer& aAnswer) {
+                         aResponder.Send(
+                           aAnswer ? ToResponse(*aAnswer)
+                                   : ControlErrorResponse(aAnswer.error()));
+                       });
 }
 
 } // namespace oriolewalk::entry
--- a/oriolewalk/entry/http_handler.h
+++ b/oriolewalk/entry/http_handler.h
@@ -16,20 +16,20 @@
 
 namespace oriolewalk::entry {
 
-struct front_identity
+struct entry_identity
 {
   ledger::owning_entry mOwner;
   data_centre_id mDataCentre;
 };
 
-class http_front
+class http_handler
 {
 public:
-  http_front(front_identity aIdentity,
-             call_services& aServices,
-             serving_state& aServing,
-             observe::metric_registry& aMetrics,
-             std::uint64_t aSeed);
+  http_handler(entry_identity aIdentity,
+               call_services& aServices,
+               serving_state& aServing,
+               observe::metric_registry& aMetrics,
+               std::uint64_t aSeed);
 
   void Handle(http::request aRequest, const http::responder& aResponder);
 
@@ -46,18 +46,18 @@
                       const http::responder& aResponder);
   void HandleHealth(const http::responder& aResponder) const;
   // Sends the request to the leader and converts its answer to HTTP.
-  void Pass(protocol::request_body aBody,
-            duration aPatience,
-            const http::responder& aResponder);
+  void ForwardToLeader(protocol::request_body aBody,
+                       duration aTimeout,
+                       const http::responder& aResponder);
 
-  front_identity mIdentity;
+  entry_identity mIdentity;
   call_services& mServices;
   serving_state& mServing;
   observe::metric_registry& mMetrics;
   std::uint64_t mSeed;
-  std::atomic<std::uint64_t> mLast = 0;
+  std::atomic<std::uint64_t> mCallCount = 0;
   observe::counter& mCalls;
-  observe::counter& mRefusedHere;
+  observe::counter& mRefusedByEntry;
 };
 
 } // namespace oriolewalk::entry
--- a/oriolewalk/entry/live_call.cc
+++ b/oriolewalk/entry/live_call.cc
@@ -14,7 +14,7 @@
 namespace {
 
 traffic::entry_request
-ToLimiter(const protocol::claim_request& aClaim)
+ToEntryRequest(const protocol::claim_request& aClaim)
 {
   return { aClaim.mRef.mOrganisation, aClaim.mCallerKey, aClaim.mClass };
 }
@@ -27,14 +27,14 @@
 traffic::entry_options
 LimiterOptions()
 {
-  constexpr double kFirstLimit = 512;
+  constexpr double kInitialLimit = 512;
   traffic::entry_options options;
-  options.mInitialLimit = kFirstLimit;
+  options.mInitialLimit = kInitialLimit;
   return options;
 }
 
 milliseconds
-Left(time_point aUntil, time_point aNow)
+TimeLeft(time_point aUntil, time_point aNow)
 {
   return std::max(std::chrono::duration_cast<milliseconds>(aUntil - aNow),
                   milliseconds(1));
@@ -58,27 +58,27 @@
 shared_limits::Admit(const protocol::claim_request& aClaim, time_point aNow)
 {
   const std::lock_guard lock(mMutex);
-  return mLimiter.Admit(ToLimiter(aClaim), aNow);
+  return mLimiter.Admit(ToEntryRequest(aClaim), aNow);
 }
 
 void
-shared_limits::Finished(const protocol::claim_request& aClaim,
-                        const traffic::control_call& aCall,
-                        time_point aNow)
+shared_limits::OnFinished(const protocol::claim_request& aClaim,
+                          const traffic::control_call& aCall,
+                          time_point aNow)
 {
   const std::lock_guard lock(mMutex);
-  mLimiter.OnFinished(ToLimiter(aClaim), aCall, aNow);
+  mLimiter.OnFinished(ToEntryRequest(aClaim), aCall, aNow);
 }
 
 void
-shared_limits::Succeeded(const service_id& aService)
+shared_limits::OnSuccess(const service_id& aService)
 {
   const std::lock_guard lock(mMutex);
   mBudgets[aService].OnSuccess();
 }
 
 bool
-shared_limits::SpendRetry(const service_id& aService, time_point aNow)
+shared_limits::TrySpendRetry(const service_id& aService, time_point aNow)
 {
   const std::lock_guard lock(mMutex);
   return mBudgets[aService].TrySpend(aNow);
@@ -92,12 +92,12 @@
 }
 
 void
-admission::Ended(const protocol::claim_request& aClaim,
-                 const traffic::control_call& aCall,
-                 time_point aNow)
+admission::OnEnded(const protocol::claim_request& aClaim,
+                   const traffic::control_call& aCall,
+                   time_point aNow)
 {
   if (!std::exchange(mEnded, true)) {
-    mLimits.Finished(aClaim, aCall, aNow);
+    mLimits.OnFinished(aClaim, aCall, aNow);
   }
 }
 
@@ -122,15 +122,15 @@
 {
   mResponder.OnDisconnected([weak = weak_from_this()]() {
     if (const auto self = weak.lock()) {
-      self->OnHangUp();
+      self->OnCallerDisconnected();
     }
   });
-  NoteEvent("arrived", mCall.mClaim.mService.Value());
-  Do(mFlow.Start(mArrivedAt));
+  WriteEvent("arrived", mCall.mClaim.mService.Value());
+  Execute(mFlow.Start(mArrivedAt));
 }
 
 void
-live_call::NoteEvent(std::string_view aKind, std::string aDetail)
+live_call::WriteEvent(std::string_view aKind, std::string aDetail)
 {
   mServices.mEvents.Write(
     { .mKind = std::string(aKind),
@@ -140,46 +140,47 @@
 }
 
 void
-live_call::Do(flow_step aStep)
+live_call::Execute(flow_step aStep)
 {
-  std::visit(overloaded{
-               [this](const ask_control& aAsk) { Ask(aAsk); },
-               [this](const forward& aForward) { Forward(aForward); },
-               [this](answer_caller& aAnswer) { Answer(std::move(aAnswer)); } },
-             aStep);
+  std::visit(
+    overloaded{
+      [this](const control_request& aRequest) { SendToControl(aRequest); },
+      [this](const forward& aForward) { Forward(aForward); },
+      [this](answer_caller& aAnswer) { Answer(std::move(aAnswer)); } },
+    aStep);
 }
 
 void
-live_call::Ask(const ask_control& aAsk)
+live_call::SendToControl(const control_request& aRequest)
 {
-  mClaiming = std::holds_alternative<protocol::claim_request>(aAsk.mBody);
+  mClaiming = std::holds_alternative<protocol::claim_request>(aRequest.mBody);
   const time_point now = runtime_clock::now();
-  mServices.mLink.Ask(
-    aAsk.mBody,
-    aAsk.mUntil,
+  mServices.mLink.Send(
+    aRequest.mBody,
+    aRequest.mUntil,
     [self = shared_from_this(), now](const control_answer& aAnswer) {
       self->OnControl(aAnswer, now);
     });
 }
 
 void
-live_call::OnControl(const control_answer& aAnswer, time_point aAskedAt)
+live_call::OnControl(const control_answer& aAnswer, time_point aSentAt)
 {
   const time_point now = runtime_clock::now();
   if (std::exchange(mClaiming, false)) {
-    NoteClaim(aAnswer, now - aAskedAt, now);
+    ReportClaim(aAnswer, now - aSentAt, now);
   }
-  Do(mFlow.OnControl(aAnswer, now));
+  Execute(mFlow.OnControl(aAnswer, now));
 }
 
 // Reports control's latency to the limiter, without the time that the request
 // spent in the queue, which does not depend on the load of control itself.
 void
-live_call::NoteClaim(const control_answer& aAnswer,
-                     duration aTook,
-                     time_point aNow)
+live_call::ReportClaim(const control_answer& aAnswer,
+                       duration aElapsed,
+                       time_point aNow)
 {
-  traffic::control_call call{ traffic::call_result::Lost, aTook };
+  traffic::control_call call{ traffic::call_result::Lost, aElapsed };
   const auto* claimed =
     aAnswer ? std::get_if<protocol::claim_answer>(&*aAnswer) : nullptr;
   if (claimed != nullptr) {
@@ -190,10 +191,10 @@
     // A refusal may follow a time in the queue that its answer does not
     // contain.
     call.mLatency = granted != nullptr
-                      ? aTook - milliseconds(granted->mWaitedMs)
+                      ? aElapsed - milliseconds(granted->mWaitedMs)
                       : duration{};
   }
-  mAdmission.Ended(mCall.mClaim, call, aNow);
+  mAdmission.OnEnded(mCall.mClaim, call, aNow);
 }
 
 void
@@ -206,20 +207,20 @@
     return;
   }
   mServices.mForwarded.Add();
-  NoteEvent("forwarded",
-            aForward.mAddress + " attempt " +
-              std::to_string(aForward.mAttempt));
+  WriteEvent("forwarded",
+             aForward.mAddress + " attempt " +
+               std::to_string(aForward.mAttempt));
   mSentAt = now;
-  const milliseconds left = Left(aForward.mUntil, now);
+  const milliseconds timeLeft = TimeLeft(aForward.mUntil, now);
   http::send_options options;
-  options.mTotalTimeout = left;
-  options.mConnectTimeout = std::min(options.mConnectTimeout, left);
+  options.mTotalTimeout = timeLeft;
+  options.mConnectTimeout = std::min(options.mConnectTimeout, timeLeft);
   options.mMustMatch = { { "Oriole-Request", mCall.mClaim.mRef.ToString() },
                          { "Oriole-Attempt",
                            std::to_string(aForward.mAttempt) } };
   mServices.mClient.Send(
     *address,
-    ForTarget(mRequest, mCall, aForward.mAttempt, left),
+    MakeTargetRequest(mRequest, mCall, aForward.mAttempt, timeLeft),
     options,
     [self = shared_from_this()](http::send_outcome aOutcome) {
       self->OnTarget(std::move(aOutcome));
@@ -230,43 +231,43 @@
 live_call::OnTarget(http::send_outcome aOutcome)
 {
   const time_point now = runtime_clock::now();
-  mTargetTook += now - mSentAt;
+  mTargetTime += now - mSentAt;
   const service_id& service = mCall.mClaim.mService;
   bool mayRetry = false;
   if (std::holds_alternative<http::answered>(aOutcome)) {
-    mServices.mLimits.Succeeded(service);
+    mServices.mLimits.OnSuccess(service);
   } else if (std::holds_alternative<http::never_started>(aOutcome)) {
-    mayRetry = mServices.mLimits.SpendRetry(service, now);
+    mayRetry = mServices.mLimits.TrySpendRetry(service, now);
   }
-  Do(mFlow.OnTarget(std::move(aOutcome), mayRetry, now));
+  Execute(mFlow.OnTarget(std::move(aOutcome), mayRetry, now));
 }
 
 void
 live_call::Answer(answer_caller aAnswer)
 {
-  const duration whole = runtime_clock::now() - mArrivedAt;
-  mServices.mAdded.Add(
-    std::chrono::duration<double, std::milli>(whole - mTargetTook).count());
-  NoteEvent(
+  const duration total = runtime_clock::now() - mArrivedAt;
+  mServices.mAddedMs.Add(
+    std::chrono::duration<double, std::milli>(total - mTargetTime).count());
+  WriteEvent(
     "answered",
     std::string(aAnswer.mResponse.Find(kOutcomeHeader).value_or("error")));
   mResponder.Send(std::move(aAnswer.mResponse));
   if (aAnswer.mReport) {
-    mServices.mGivenBack.Add();
-    mServices.mLink.Ask(aAnswer.mReport->mBody,
-                        aAnswer.mReport->mUntil,
-                        [](const control_answer&) {});
+    mServices.mLateReports.Add();
+    mServices.mLink.Send(aAnswer.mReport->mBody,
+                         aAnswer.mReport->mUntil,
+                         [](const control_answer&) {});
   }
 }
 
 // Only a queued request can be cancelled. The leader then answers the claim.
 void
-live_call::OnHangUp()
+live_call::OnCallerDisconnected()
 {
-  constexpr seconds kPatience{ 2 };
-  mServices.mLink.Ask(
+  constexpr seconds kTimeout{ 2 };
+  mServices.mLink.Send(
     protocol::cancel_request{ mFlow.Claim().mRef, mFlow.Claim().mToken },
-    runtime_clock::now() + kPatience,
+    runtime_clock::now() + kTimeout,
     [](const control_answer&) {});
 }
 
--- a/oriolewalk/entry/live_call.h
+++ b/oriolewalk/entry/live_call.h
@@ -31,11 +31,11 @@
   void SetPolicy(const traffic::share_policy& aPolicy);
   traffic::entry_verdict Admit(const protocol::claim_request& aClaim,
                                time_point aNow);
-  void Finished(const protocol::claim_request& aClaim,
-                const traffic::control_call& aCall,
-                time_point aNow);
-  void Succeeded(const service_id& aService);
-  bool SpendRetry(const service_id& aService, time_point aNow);
+  void OnFinished(const protocol::claim_request& aClaim,
+                  const traffic::control_call& aCall,
+                  time_point aNow);
+  void OnSuccess(const service_id& aService);
+  bool TrySpendRetry(const service_id& aService, time_point aNow);
   [[nodiscard]] std::size_t InProgress();
 
 private:
@@ -56,9 +56,9 @@
   {
   }
 
-  void Ended(const protocol::claim_request& aClaim,
-             const traffic::control_call& aCall,
-             time_point aNow);
+  void OnEnded(const protocol::claim_request& aClaim,
+               const traffic::control_call& aCall,
+               time_point aNow);
 
 private:
   shared_limits& mLimits;
@@ -72,9 +72,9 @@
   http::client& mClient;
   shared_limits& mLimits;
   observe::event_log& mEvents;
-  observe::quantiles& mAdded; // entry and control, without the target
+  observe::quantiles& mAddedMs; // entry and control, without the target
   observe::counter& mForwarded;
-  observe::counter& mGivenBack;
+  observe::counter& mLateReports;
 };
 
 class live_call : public std::enable_shared_from_this<live_call>
@@ -90,17 +90,17 @@
   void Start();
 
 private:
-  void Do(flow_step aStep);
-  void Ask(const ask_control& aAsk);
-  void OnControl(const control_answer& aAnswer, time_point aAskedAt);
+  void Execute(flow_step aStep);
+  void SendToControl(const control_request& aRequest);
+  void OnControl(const control_answer& aAnswer, time_point aSentAt);
   void Forward(const forward& aForward);
   void OnTarget(http::send_outcome aOutcome);
   void Answer(answer_caller aAnswer);
-  void NoteClaim(const control_answer& aAnswer,
-                 duration aTook,
-                 time_point aNow);
-  void OnHangUp();
-  void NoteEvent(std::string_view aKind, std::string aDetail);
+  void ReportClaim(const control_answer& aAnswer,
+                   duration aElapsed,
+                   time_point aNow);
+  void OnCallerDisconnected();
+  void WriteEvent(std::string_view aKind, std::string aDetail);
 
   call_services& mServices;
   http::request mRequest;
@@ -110,7 +110,7 @@
   admission mAdmission;
   time_point mArrivedAt;
   time_point mSentAt{};
-  duration mTargetTook{};
+  duration mTargetTime{};
   bool mClaiming = false;
 };
 
--- a/oriolewalk/entry/platform_api.cc
+++ b/oriolewalk/entry/platform_api.cc
@@ -20,20 +20,20 @@
 
 namespace {
 
-constexpr std::int64_t kMostAmount = 1'000'000'000'000;
-constexpr std::int64_t kMostSlots = 100'000;
+constexpr std::int64_t kMaxAmount = 1'000'000'000'000;
+constexpr std::int64_t kMaxSlots = 100'000;
 constexpr unsigned kNotFound = 404;
 
 cell::resources
-Size(json_fields& aFields)
+ReadResources(json_fields& aFields)
 {
-  return { aFields.Number("milli_processors", 0, kMostAmount, 0),
-           aFields.Number("memory_mb", 0, kMostAmount, 0),
-           aFields.Number("accelerators", 0, kMostAmount, 0) };
+  return { aFields.Number("milli_processors", 0, kMaxAmount, 0),
+           aFields.Number("memory_mb", 0, kMaxAmount, 0),
+           aFields.Number("accelerators", 0, kMaxAmount, 0) };
 }
 
 cell::task_id
-Task(json_fields& aFields)
+ReadTask(json_fields& aFields)
 {
   const auto task = cell::ParseTask(aFields.Text("task"));
   if (!task) {
@@ -44,9 +44,9 @@
 
 template<class Value>
 result<Value>
-Finish(const json_fields& aReader, Value aValue)
+ValueOrProblem(const json_fields& aFields, Value aValue)
 {
-  if (const auto& problem = aReader.Problem()) {
+  if (const auto& problem = aFields.Problem()) {
     return Fail(*problem);
   }
   return aValue;
@@ -83,13 +83,13 @@
   announced.mService = service_id(fields.Text("service"));
   announced.mAddress = fields.Text("address");
   announced.mDataCentre = data_centre_id(fields.Text("data_centre"));
-  announced.mSlots = ToUnsigned(fields.Number("slots", 1, kMostSlots));
+  announced.mSlots = ToUnsigned(fields.Number("slots", 1, kMaxSlots));
   announced.mConnections =
-    ToUnsigned(fields.Number("connections", 1, kMostSlots));
+    ToUnsigned(fields.Number("connections", 1, kMaxSlots));
   if (!settings::ParseAddress(announced.mAddress)) {
     fields.AddProblem("address", "must be IP:PORT");
   }
-  return Finish(fields, announced);
+  return ValueOrProblem(fields, announced);
 }
 
 result<protocol::worker_announcement>
@@ -106,16 +106,15 @@
   announced.mBoot = cell::boot_id(fields.Text("boot"));
   announced.mDataCentre = data_centre_id(fields.Text("data_centre"));
   announced.mRack = rack_id(fields.Text("rack"));
-  announced.mCapacity = Size(fields);
-  return Finish(fields, announced);
+  announced.mCapacity = ReadResources(fields);
+  return ValueOrProblem(fields, announced);
 }
 
 result<protocol::worker_poll>
 ParsePoll(std::string_view aWorker, std::string_view aBody)
 {
   constexpr std::string_view kStep = "polling";
-  constexpr std::int64_t kMostAttempt =
-    std::numeric_limits<std::int32_t>::max();
+  constexpr std::int64_t kMaxAttempt = std::numeric_limits<std::int32_t>::max();
   const auto value = protocol::ParseJson(aBody, kStep);
   if (!value) {
     return Fail(value.error());
@@ -129,11 +128,11 @@
   for (const json::value& one : fields.List("running")) {
     json_fields task(one, kStep);
     cell::running_task running;
-    running.mTask = Task(task);
-    running.mAttempt = ToUnsigned(task.Number("attempt", 1, kMostAttempt));
-    running.mUsage = Size(task);
+    running.mTask = ReadTask(task);
+    running.mAttempt = ToUnsigned(task.Number("attempt", 1, kMaxAttempt));
+    running.mUsage = ReadResources(task);
     const std::int64_t limit =
-      task.Number("limit_milli_processors", 0, kMostAmount, 0);
+      task.Number("limit_milli_processors", 0, kMaxAmount, 0);
     if (limit != 0) {
       running.mLimitMilliProcessors = limit;
     }
@@ -143,8 +142,8 @@
   for (const json::value& one : fields.List("ended")) {
     json_fields task(one, kStep);
     cell::reported_end ended;
-    ended.mTask = Task(task);
-    ended.mAttempt = ToUnsigned(task.Number("attempt", 1, kMostAttempt));
+    ended.mTask = ReadTask(task);
+    ended.mAttempt = ToUnsigned(task.Number("attempt", 1, kMaxAttempt));
     const auto parsed = cell::ParseResult(task.Text("result"));
     if (!parsed) {
       task.AddProblem("result",
@@ -154,7 +153,7 @@
     poll.mPoll.mEnded.push_back(ended);
     fields.AddProblemOf(task);
   }
-  return Finish(fields, poll);
+  return ValueOrProblem(fields, poll);
 }
 
 http::response
--- a/oriolewalk/entry/request_flow.cc
+++ b/oriolewalk/entry/request_flow.cc
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr unsigned kServerError = 500;
-constexpr milliseconds kAskAgain{ 500 };
+constexpr milliseconds kRetryAfter{ 500 };
 
 std::uint32_t
-LeftMs(time_point aDeadline, time_point aNow)
+TimeLeftMs(time_point aDeadline, time_point aNow)
 {
   const auto left =
     std::chrono::duration_cast<milliseconds>(aDeadline - aNow).count();
@@ -37,18 +37,18 @@
 flow_step
 request_flow::Start(time_point aNow)
 {
-  return AskClaim(aNow);
+  return SendClaim(aNow);
 }
 
 // The leader answers by the deadline. The grace period lets its refusal arrive,
 // which is more specific than a timeout of the entry.
 flow_step
-request_flow::AskClaim(time_point aNow)
+request_flow::SendClaim(time_point aNow)
 {
   constexpr milliseconds kGrace{ 100 };
   mStage = stage::Claiming;
-  mClaim.mDeadlineMs = LeftMs(mDeadline, aNow);
-  return ask_control{ mClaim, mDeadline + kGrace };
+  mClaim.mDeadlineMs = TimeLeftMs(mDeadline, aNow);
+  return control_request{ mClaim, mDeadline + kGrace };
 }
 
 flow_step
@@ -58,26 +58,27 @@
   if (mStage == stage::Reporting) {
     const bool recorded =
       aAnswer && std::holds_alternative<protocol::done>(*aAnswer);
-    if (recorded && mRetry && aNow < mDeadline) {
+    if (recorded && mShouldRetry && aNow < mDeadline) {
       mClaim.mToken = random_source(mSeed + mAttempts).Bits();
-      return AskClaim(aNow);
+      return SendClaim(aNow);
     }
-    answer_caller last{ std::move(mThen), std::nullopt };
+    answer_caller last{ std::move(mCallerAnswer), std::nullopt };
     if (!recorded) {
-      last.mReport = ask_control{ mReport, aNow + kBackgroundPatience };
+      last.mReport =
+        control_request{ mReport, aNow + kBackgroundReportTimeout };
     }
     return last;
   }
   if (!aAnswer) {
-    return GiveBack(
+    return ReleaseClaim(
       BusyAnswer("control did not answer: " + aAnswer.error().Describe(),
-                 kAskAgain),
+                 kRetryAfter),
       aNow);
   }
   const auto* claimed = std::get_if<protocol::claim_answer>(&*aAnswer);
   if (claimed == nullptr) {
-    return GiveBack(BusyAnswer("control sent an unexpected answer", kAskAgain),
-                    aNow);
+    return ReleaseClaim(
+      BusyAnswer("control sent an unexpected answer", kRetryAfter), aNow);
   }
   return OnClaimAnswer(*claimed, aNow);
 }
@@ -116,8 +117,8 @@
                         time_point aNow)
 {
   if (aNow >= mDeadline) {
-    return GiveBack(
-      BusyAnswer("the deadline passed before the start", kAskAgain), aNow);
+    return ReleaseClaim(
+      BusyAnswer("the deadline passed before the start", kRetryAfter), aNow);
   }
   mStage = stage::Forwarding;
   ++mAttempts;
@@ -128,20 +129,20 @@
 // It is not known whether the claim was granted, but nothing was sent to a
 // target. The report releases the key.
 flow_step
-request_flow::GiveBack(http::response aResponse, time_point aNow)
+request_flow::ReleaseClaim(http::response aResponse, time_point aNow)
 {
   return answer_caller{ std::move(aResponse),
-                        ask_control{
-                          FinishAs(ledger::attempt_result::NotStarted,
-                                   traffic::finish_result::NeverStarted,
-                                   aNow),
-                          aNow + kBackgroundPatience } };
+                        control_request{
+                          MakeReport(ledger::attempt_result::NotStarted,
+                                     traffic::finish_result::NeverStarted,
+                                     aNow),
+                          aNow + kBackgroundReportTimeout } };
 }
 
 protocol::finish_request
-request_flow::FinishAs(ledger::attempt_result aResult,
-                       traffic::finish_result aQuality,
-                       time_point aNow) const
+request_flow::MakeReport(ledger::attempt_result aResult,
+                         traffic::finish_result aQuality,
+                         time_point aNow) const
 {
   protocol::finish_request report;
   report.mFinish.mRef = mClaim.mRef;
@@ -157,15 +158,15 @@
 
 flow_step
 request_flow::Report(protocol::finish_request aReport,
-                     http::response aThen,
-                     bool aRetry,
+                     http::response aCallerAnswer,
+                     bool aShouldRetry,
                      time_point aNow)
 {
   mStage = stage::Reporting;
   mReport = std::move(aReport);
-  mThen = std::move(aThen);
-  mRetry = aRetry;
-  return ask_control{ mReport, aNow + kReportPatience };
+  mCallerAnswer = std::move(aCallerAnswer);
+  mShouldRetry = aShouldRetry;
+  return control_request{ mReport, aNow + kReportTimeout };
 }
 
 flow_step
@@ -179,19 +180,19 @@
         return OnAnswered(std::move(aAnswered.mResponse), aNow);
       },
       [&](const http::never_started& aNone) {
-        return Report(FinishAs(ledger::attempt_result::NotStarted,
-                               traffic::finish_result::NeverStarted,
-                               aNow),
-                      BusyAnswer(aNone.mError.Describe(), kAskAgain),
-                      aMayRetry && mAttempts < kMostAttempts,
+        return Report(MakeReport(ledger::attempt_result::NotStarted,
+                                 traffic::finish_result::NeverStarted,
+                                 aNow),
+                      BusyAnswer(aNone.mError.Describe(), kRetryAfter),
+                      aMayRetry && mAttempts < kMaxAttempts,
                       aNow);
       },
       [&](const http::unknown_outcome& aLost) {
         const bool late = aLost.mError.mCode == error_code::Timeout;
-        return Report(FinishAs(ledger::attempt_result::Unknown,
-                               late ? traffic::finish_result::TimedOut
-                                    : traffic::finish_result::Unknown,
-                               aNow),
+        return Report(MakeReport(ledger::attempt_result::Unknown,
+                                 late ? traffic::finish_result::TimedOut
+                                      : traffic::finish_result::Unknown,
+                                 aNow),
                       UnknownAnswer(aLost.mError),
                       false,
                       aNow);
@@ -205,16 +206,16 @@
 {
   const bool failed = aResponse.mStatus >= kServerError;
   protocol::finish_request report =
-    FinishAs(ledger::attempt_result::Answered,
-             failed ? traffic::finish_result::FailedFast
-                    : traffic::finish_result::Answered,
-             aNow);
+    MakeReport(ledger::attempt_result::Answered,
+               failed ? traffic::finish_result::FailedFast
+                      : traffic::finish_result::Answered,
+               aNow);
   http::response answer = CompletedAnswer(std::move(aResponse));
   report.mFinish.mStatus = static_cast<std::uint16_t>(answer.mStatus);
-  bytes kept = EncodeAnswer(answer);
-  report.mFinish.mAnswerKept = kept.size() <= protocol::kMaxStoredAnswerBytes;
+  bytes stored = EncodeAnswer(answer);
+  report.mFinish.mAnswerKept = stored.size() <= protocol::kMaxStoredAnswerBytes;
   if (report.mFinish.mAnswerKept) {
-    report.mFinish.mAnswer = std::move(kept);
+    report.mFinish.mAnswer = std::move(stored);
   }
   return Report(std::move(report), std::move(answer), false, aNow);
 }
--- a/oriolewalk/entry/request_flow.h
+++ b/oriolewalk/entry/request_flow.h
@@ -32,15 +32,15 @@
 namespace oriolewalk::entry {
 
 // Covers a leader change (under 1.5 s), after which the report goes through.
-constexpr milliseconds kReportPatience{ 2500 };
+constexpr milliseconds kReportTimeout{ 2500 };
 // A report that continues after the caller's answer is retried for this long.
 // The leader itself records the attempt's end after the grace period of an
 // owner.
-constexpr seconds kBackgroundPatience{ 15 };
-constexpr std::uint32_t kMostAttempts = 3;
+constexpr seconds kBackgroundReportTimeout{ 15 };
+constexpr std::uint32_t kMaxAttempts = 3;
 
 // Send the request to control; time out at mUntil.
-struct ask_control
+struct control_request
 {
   protocol::request_body mBody;
   time_point mUntil;
@@ -58,10 +58,10 @@
 struct answer_caller
 {
   http::response mResponse;
-  std::optional<ask_control> mReport;
+  std::optional<control_request> mReport;
 };
 
-using flow_step = std::variant<ask_control, forward, answer_caller>;
+using flow_step = std::variant<control_request, forward, answer_caller>;
 
 class request_flow
 {
@@ -97,16 +97,16 @@
     Reporting,
   };
 
-  flow_step AskClaim(time_point aNow);
+  flow_step SendClaim(time_point aNow);
   flow_step OnClaimAnswer(const protocol::claim_answer& aAnswer,
                           time_point aNow);
   flow_step OnGranted(const protocol::claim_granted& aGranted, time_point aNow);
-  flow_step GiveBack(http::response aResponse, time_point aNow);
+  flow_step ReleaseClaim(http::response aResponse, time_point aNow);
   flow_step Report(protocol::finish_request aReport,
-                   http::response aThen,
-                   bool aRetry,
+                   http::response aCallerAnswer,
+                   bool aShouldRetry,
                    time_point aNow);
-  [[nodiscard]] protocol::finish_request FinishAs(
+  [[nodiscard]] protocol::finish_request MakeReport(
     ledger::attempt_result aResult,
     traffic::finish_result aQuality,
     time_point aNow) const;
@@ -119,8 +119,8 @@
   std::uint32_t mAttempts = 0;
   time_point mSentAt{};
   protocol::finish_request mReport;
-  http::response mThen; // sent once reported
-  bool mRetry = false;  // claim again once reported
+  http::response mCallerAnswer; // sent once reported
+  bool mShouldRetry = false;    // claim again once reported
 };
 
 } // namespace oriolewalk::entry
--- a/oriolewalk/entry/serving_state.h
+++ b/oriolewalk/entry/serving_state.h
@@ -21,18 +21,18 @@
   void SetLease(time_point aUntil, std::uint64_t aVersion)
   {
     mVersion.store(aVersion);
-    mUntil.store(aUntil.time_since_epoch().count());
+    mLeaseUntil.store(aUntil.time_since_epoch().count());
   }
   void StartDraining() { mDraining.store(true); }
 
   [[nodiscard]] bool HasLease(time_point aNow) const
   {
-    return aNow.time_since_epoch().count() < mUntil.load();
+    return aNow.time_since_epoch().count() < mLeaseUntil.load();
   }
   [[nodiscard]] bool IsDraining() const { return mDraining.load(); }
   [[nodiscard]] std::uint64_t Version() const { return mVersion.load(); }
   // Returns an empty text if the balancer may send requests to this entry.
-  [[nodiscard]] std::string_view Unhealthy(time_point aNow) const
+  [[nodiscard]] std::string_view UnhealthyReason(time_point aNow) const
   {
     if (IsDraining()) {
       return "stopping";
@@ -41,7 +41,7 @@
   }
 
 private:
-  std::atomic<std::int64_t> mUntil = 0;
+  std::atomic<std::int64_t> mLeaseUntil = 0;
   std::atomic<std::uint64_t> mVersion = 0;
   std::atomic<bool> mDraining = false;
 };
--- a/testing/entry/entry_test.cc
+++ b/testing/entry/entry_test.cc
@@ -29,11 +29,11 @@
   REQUIRE_FALSE(limits.Admit(Claim(), kStart).mRefused);
   REQUIRE_FALSE(limits.Admit(Claim(), kStart).mRefused);
   admission first(limits);
-  first.Ended(Claim(), {}, kStart);
-  first.Ended(Claim(), {}, kStart);
+  first.OnEnded(Claim(), {}, kStart);
+  first.OnEnded(Claim(), {}, kStart);
   CHECK(limits.InProgress() == 1);
   admission second(limits);
-  second.Ended(Claim(), {}, kStart);
+  second.OnEnded(Claim(), {}, kStart);
   CHECK(limits.InProgress() == 0);
 }
 
--- a/testing/system/fake_cell_parties.cc
+++ b/testing/system/fake_cell_parties.cc
@@ -221,7 +221,7 @@
   fake_call& call = mCalls[aCall];
   std::visit(
     overloaded{
-      [&](const entry::ask_control& aAsk) {
+      [&](const entry::control_request& aAsk) {
         const bool claims =
           std::holds_alternative<protocol::claim_request>(aAsk.mBody);
         call.mStep = claims ? "claiming" : "reporting";
