--- a/oriolewalk/entry/answers.cc
+++ b/oriolewalk/entry/answers.cc
@@ -22,16 +22,16 @@
 constexpr unsigned kUnprocessable = 422;
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kUnavailable = 503;
-// A caller whose key runs asks again so soon.
-constexpr milliseconds kAskAgain{ 1000 };
+// Retry-After for a caller whose key is still running.
+constexpr milliseconds kRunningRetryAfter{ 1000 };
 
-// For one connection only (RFC 9110, section 7.6.1).
+// Headers that apply to one connection only (RFC 9110, section 7.6.1).
 constexpr std::array<std::string_view, 8> kHopByHop = {
   "connection", "keep-alive",        "proxy-connection", "te",
   "trailer",    "transfer-encoding", "upgrade",          "content-length",
 };
 
-struct kept_answer
+struct stored_answer
 {
   unsigned mStatus = 0;
   std::vector<std::pair<std::string, std::string>> mHeaders;
@@ -44,8 +44,8 @@
   }
 };
 
-// Whole seconds, as HTTP has it, and never 0: "now" would only bring the
-// caller back into the same burst.
+// Returns whole seconds, as HTTP requires, and at least 1: with 0 the caller
+// would retry within the same burst.
 std::string
 RetryAfter(duration aAfter)
 {
@@ -97,7 +97,7 @@
                      { error_code::Conflict,
                        "claim",
                        {},
-                       "the idempotency key belongs to other work" });
+                       "the idempotency key was used for another request" });
 }
 
 http::response
@@ -107,8 +107,11 @@
     case ledger::request_state::Running:
     case ledger::request_state::Ready: {
       http::response answer =
-        OutcomeAnswer(kConflict, "running", "an earlier copy is in progress");
-      answer.mHeaders.push_back({ "Retry-After", RetryAfter(kAskAgain) });
+        OutcomeAnswer(kConflict,
+                      "running",
+                      "an earlier attempt with this key is in progress");
+      answer.mHeaders.push_back(
+        { "Retry-After", RetryAfter(kRunningRetryAfter) });
       return answer;
     }
     case ledger::request_state::NotRun:
@@ -120,9 +123,9 @@
       break;
   }
   http::response answer;
-  auto kept = DecodeAnswer(aKnown.mAnswer);
-  if (aKnown.mAnswerKept && kept) {
-    answer = CompletedAnswer(std::move(*kept));
+  auto stored = DecodeAnswer(aKnown.mAnswer);
+  if (aKnown.mAnswerKept && stored) {
+    answer = CompletedAnswer(std::move(*stored));
   } else {
     answer.mStatus = kGone;
     answer.mHeaders = { { std::string(kOutcomeHeader), "completed" },
@@ -162,24 +165,24 @@
 bytes
 EncodeAnswer(const http::response& aResponse)
 {
-  kept_answer kept{ aResponse.mStatus, {}, aResponse.mBody };
+  stored_answer stored{ aResponse.mStatus, {}, aResponse.mBody };
   for (const http::header& header : aResponse.mHeaders) {
-    kept.mHeaders.emplace_back(header.mName, header.mValue);
+    stored.mHeaders.emplace_back(header.mName, header.mValue);
   }
-  return Encode(kept);
+  return Encode(stored);
 }
 
 result<http::response>
 DecodeAnswer(std::string_view aBytes)
 {
-  auto kept = Decode<kept_answer>(aBytes, "reading a kept answer");
-  if (!kept) {
-    return Fail(kept.error());
+  auto stored = Decode<stored_answer>(aBytes, "reading a stored answer");
+  if (!stored) {
+    return Fail(stored.error());
   }
   http::response answer;
-  answer.mStatus = kept->mStatus;
-  answer.mBody = std::move(kept->mBody);
-  for (auto& [name, value] : kept->mHeaders) {
+  answer.mStatus = stored->mStatus;
+  answer.mBody = std::move(stored->mBody);
+  for (auto& [name, value] : stored->mHeaders) {
     answer.mHeaders.push_back({ std::move(name), std::move(value) });
   }
   return answer;
--- a/oriolewalk/entry/caller_api.cc
+++ b/oriolewalk/entry/caller_api.cc
@@ -15,11 +15,11 @@
 namespace {
 
 constexpr std::string_view kStep = "reading the request";
-constexpr std::string_view kServices = "/services/";
-constexpr std::size_t kMostName = 128;
+constexpr std::string_view kServicesPrefix = "/services/";
+constexpr std::size_t kMaxNameBytes = 128;
 constexpr std::uint32_t kDefaultDeadlineMs = 10'000;
 
-// Ours, or for one connection only; the target gets its own.
+// Headers that the entry sets itself or that apply to one connection only.
 constexpr std::array<std::string_view, 9> kNotForwarded = {
   "host",    "connection",         "keep-alive",
   "te",      "transfer-encoding",  "content-length",
@@ -34,13 +34,14 @@
               std::string(aHeader) + " must be " + std::string(aAllowed));
 }
 
-// Names go into logs and keys: printable, without blanks or slashes.
+// Names are used in logs and keys, so they must be printable and must not
+// contain spaces, slashes or quotes.
 bool
 IsName(std::string_view aText)
 {
-  return !aText.empty() && aText.size() <= kMostName &&
-         std::ranges::all_of(aText, [](char aOne) {
-           return aOne > ' ' && aOne < '\x7f' && aOne != '/' && aOne != '"';
+  return !aText.empty() && aText.size() <= kMaxNameBytes &&
+         std::ranges::all_of(aText, [](char aByte) {
+           return aByte > ' ' && aByte < '\x7f' && aByte != '/' && aByte != '"';
          });
 }
 
@@ -51,14 +52,14 @@
   const char* last = aText.data() + aText.size();
   const auto [end, problem] = std::from_chars(aText.data(), last, value);
   if (problem != std::errc{} || end != last || value == 0 ||
-      value > protocol::kMostDeadlineMs) {
+      value > protocol::kMaxDeadlineMs) {
     return std::nullopt;
   }
   return value;
 }
 
-// The same key must mean the same work; what only concerns this delivery (the
-// deadline, connection headers) is left out.
+// Detects a key that is used again for a request with other content. The
+// deadline and connection headers concern one delivery only and are left out.
 std::uint64_t
 Fingerprint(const http::request& aRequest,
             const protocol::claim_request& aClaim)
@@ -70,13 +71,15 @@
   return XXH3_64bits(text.data(), text.size());
 }
 
-// What stands in the headers; the rest of the claim is the entry's own.
+// Sets the fields of the claim that come from the headers. The entry sets the
+// others itself.
 result<void>
 ReadHeaders(const http::request& aRequest,
-            const std::string& aMadeKey,
+            const std::string& aGeneratedKey,
             protocol::claim_request& aClaim)
 {
-  const std::string key(aRequest.Find("Idempotency-Key").value_or(aMadeKey));
+  const std::string key(
+    aRequest.Find("Idempotency-Key").value_or(aGeneratedKey));
   const std::string organisation(
     aRequest.Find("Oriole-Organisation").value_or("default"));
   if (!IsName(key)) {
@@ -98,8 +101,8 @@
   aClaim.mRef = { organisation_id(organisation), request_key(key) };
   aClaim.mClass = *workClass;
   aClaim.mRepeatable = repeatable == "yes";
-  // Fairness within an organisation is by who calls: the address without its
-  // port, or what a front of the organisation's own says.
+  // Fair sharing within an organisation is per caller: the peer address without
+  // its port, or the caller that a proxy of the organisation names.
   const std::string_view peer = aRequest.mPeer;
   aClaim.mCallerKey = std::string(
     aRequest.Find("Oriole-Caller").value_or(peer.substr(0, peer.rfind(':'))));
@@ -111,14 +114,14 @@
 bool
 IsServicePath(std::string_view aTarget)
 {
-  return aTarget.starts_with(kServices);
+  return aTarget.starts_with(kServicesPrefix);
 }
 
 result<parsed_call>
-ParseCall(const http::request& aRequest, const std::string& aMadeKey)
+ParseCall(const http::request& aRequest, const std::string& aGeneratedKey)
 {
   std::string_view rest = aRequest.mTarget;
-  rest.remove_prefix(std::min(kServices.size(), rest.size()));
+  rest.remove_prefix(std::min(kServicesPrefix.size(), rest.size()));
   const std::size_t end = rest.find_first_of("/?");
   const std::string_view service = rest.substr(0, end);
   if (!IsName(service)) {
@@ -131,7 +134,8 @@
     call.mTargetPath.insert(0, 1, '/');
   }
   call.mClaim.mService = service_id(std::string(service));
-  if (const auto read = ReadHeaders(aRequest, aMadeKey, call.mClaim); !read) {
+  if (const auto read = ReadHeaders(aRequest, aGeneratedKey, call.mClaim);
+      !read) {
     return Fail(read.error());
   }
   std::uint32_t deadline = kDefaultDeadlineMs;
@@ -149,10 +153,10 @@
 }
 
 http::request
-ForTarget(const http::request& aRequest,
-          const parsed_call& aCall,
-          std::uint32_t aAttempt,
-          milliseconds aLeft)
+MakeTargetRequest(const http::request& aRequest,
+                  const parsed_call& aCall,
+                  std::uint32_t aAttempt,
+                  milliseconds aTimeLeft)
 {
   http::request request;
   request.mMethod = aRequest.mMethod;
@@ -170,7 +174,7 @@
     { "Oriole-Request", aCall.mClaim.mRef.ToString() });
   request.mHeaders.push_back({ "Oriole-Attempt", std::to_string(aAttempt) });
   request.mHeaders.push_back(
-    { "Oriole-Deadline-Ms", std::to_string(aLeft.count()) });
+    { "Oriole-Deadline-Ms", std::to_string(aTimeLeft.count()) });
   return request;
 }
 
--- a/oriolewalk/entry/live_call.h
+++ b/oriolewalk/entry/live_call.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// One caller's request in flight: carries out the steps of its request_flow.
+// One caller's request in flight: executes the steps of its request_flow.
 //
-// Lives as long as something will call it back (the link, the client or the
-// caller's connection). Callbacks come from several threads, but one at a
-// time: each step waits for one thing.
+// It exists while a callback is pending (of the link, the client or the
+// caller's connection). Callbacks come from several threads, but only one at a
+// time, because each step waits for a single event.
 
 #include <cstdint>
 #include <memory>
@@ -21,8 +21,8 @@
 
 namespace oriolewalk::entry {
 
-// The entry's limiter and retry budgets, shared by all traffic threads; a short
-// lock around O(1) work.
+// The entry's limiter and retry budgets, shared by all traffic threads. Each
+// call holds a lock for O(1) work.
 class shared_limits
 {
 public:
@@ -31,11 +31,11 @@
   void SetPolicy(const traffic::share_policy& aPolicy);
   traffic::entry_verdict Admit(const protocol::claim_request& aClaim,
                                time_point aNow);
-  void Finished(const protocol::claim_request& aClaim,
-                const traffic::control_call& aCall,
-                time_point aNow);
-  void Succeeded(const service_id& aService);
-  bool SpendRetry(const service_id& aService, time_point aNow);
+  void OnFinished(const protocol::claim_request& aClaim,
+                  const traffic::control_call& aCall,
+                  time_point aNow);
+  void OnSuccess(const service_id& aService);
+  bool TrySpendRetry(const service_id& aService, time_point aNow);
   [[nodiscard]] std::size_t InProgress();
 
 private:
@@ -44,9 +44,10 @@
   std::map<service_id, traffic::retry_budget> mBudgets;
 };
 
-// One admitted call. It ends once: a request whose attempt did not start claims
-// again, and each of its claims would otherwise take another call's place out
-// of the limiter's count, which then admits more than control can take.
+// One admitted call, which the limiter counts until its first claim ends. A
+// request whose attempt did not start claims again. If each claim were reported
+// to the limiter, it would subtract other calls from its count and admit more
+// than control can handle.
 class admission
 {
 public:
@@ -55,25 +56,25 @@
   {
   }
 
-  void Ended(const protocol::claim_request& aClaim,
-             const traffic::control_call& aCall,
-             time_point aNow);
+  void OnEnded(const protocol::claim_request& aClaim,
+               const traffic::control_call& aCall,
+               time_point aNow);
 
 private:
   shared_limits& mLimits;
   bool mEnded = false;
 };
 
-// What all calls of an entry use.
+// The services that all calls of an entry share.
 struct call_services
 {
   control_link& mLink;
   http::client& mClient;
   shared_limits& mLimits;
   observe::event_log& mEvents;
-  observe::quantiles& mAdded; // milliseconds by us, over what the target took
+  observe::quantiles& mAddedMs; // entry and control, without the target
   observe::counter& mForwarded;
-  observe::counter& mGivenBack;
+  observe::counter& mLateReports;
 };
 
 class live_call : public std::enable_shared_from_this<live_call>
@@ -89,17 +90,17 @@
   void Start();
 
 private:
-  void Do(flow_step aStep);
-  void Ask(const ask_control& aAsk);
-  void OnControl(const control_answer& aAnswer, time_point aAskedAt);
+  void Execute(flow_step aStep);
+  void SendToControl(const control_request& aRequest);
+  void OnControl(const control_answer& aAnswer, time_point aSentAt);
   void Forward(const forward& aForward);
   void OnTarget(http::send_outcome aOutcome);
   void Answer(answer_caller aAnswer);
-  void NoteClaim(const control_answer& aAnswer,
-                 duration aTook,
-                 time_point aNow);
-  void OnHangUp();
-  void NoteEvent(std::string_view aKind, std::string aDetail);
+  void ReportClaim(const control_answer& aAnswer,
+                   duration aElapsed,
+                   time_point aNow);
+  void OnCallerDisconnected();
+  void WriteEvent(std::string_view aKind, std::string aDetail);
 
   call_services& mServices;
   http::request mRequest;
@@ -109,7 +110,7 @@
   admission mAdmission;
   time_point mArrivedAt;
   time_point mSentAt{};
-  duration mTargetTook{};
+  duration mTargetTime{};
   bool mClaiming = false;
 };
 
--- a/oriolewalk/entry/request_flow.h
+++ b/oriolewalk/entry/request_flow.h
@@ -5,17 +5,18 @@
 //   claim -> granted -> forward to the target -> report -> answer
 //         -> known / busy / not run / mismatch -> answer
 //
-// A state machine without I/O: the shell tells it what came back, and carries
-// out the step that it returns. It keeps these rules:
-//  - nothing is sent to a target without a grant, nor after the deadline;
-//  - another attempt only where the last one surely did not start;
-//  - the end of every granted attempt is reported, and a claim whose grant was
-//    lost is given back, so that no slot stays taken;
-//  - the caller is told "completed" once that is recorded, so that whoever
-//    asks again hears the same; but a whole answer is not kept from its caller
-//    for longer than kReportPatience where control can't be reached.
+// A state machine without I/O: its user passes in each result and executes the
+// step that is returned. It guarantees:
+//  - Nothing is sent to a target without a grant or after the deadline.
+//  - A further attempt is made only if the last one is known not to have
+//    started.
+//  - The end of every granted attempt is reported, and a claim whose grant was
+//    lost is released, so that no slot stays occupied.
+//  - The caller gets "completed" only after that is recorded, so that a retry
+//    gets the same answer. If control can't be reached, a complete answer is
+//    delayed by at most kReportTimeout.
 //
-// One thread at a time; owned by the shell's call.
+// One thread at a time; owned by the live call.
 
 #include <cstdint>
 #include <optional>
@@ -31,20 +32,21 @@
 namespace oriolewalk::entry {
 
 // Covers a leader change (under 1.5 s), after which the report goes through.
-constexpr milliseconds kReportPatience{ 2500 };
-// A report that its caller no longer waits for is retried for this long. After
-// the grace of an owner the leader has recorded the attempt's end.
-constexpr seconds kBackgroundPatience{ 15 };
-constexpr std::uint32_t kMostAttempts = 3;
-
-// Ask control; give up at mUntil.
-struct ask_control
+constexpr milliseconds kReportTimeout{ 2500 };
+// A report that continues after the caller's answer is retried for this long.
+// The leader itself records the attempt's end after the grace period of an
+// owner.
+constexpr seconds kBackgroundReportTimeout{ 15 };
+constexpr std::uint32_t kMaxAttempts = 3;
+
+// Send the request to control; time out at mUntil.
+struct control_request
 {
   protocol::request_body mBody;
   time_point mUntil;
 };
 
-// Send the request to the target; give up at mUntil.
+// Send the request to the target; time out at mUntil.
 struct forward
 {
   std::string mAddress;
@@ -52,25 +54,26 @@
   time_point mUntil;
 };
 
-// Answer the caller. mReport is a report that goes on in the background.
+// Answer the caller. mReport is a report that continues in the background.
 struct answer_caller
 {
   http::response mResponse;
-  std::optional<ask_control> mReport;
+  std::optional<control_request> mReport;
 };
 
-using flow_step = std::variant<ask_control, forward, answer_caller>;
+using flow_step = std::variant<control_request, forward, answer_caller>;
 
 class request_flow
 {
 public:
-  // aClaim.mToken is the first attempt's; aSeed gives the later ones'.
+  // aClaim.mToken is the token of the first attempt. The tokens of later
+  // attempts are derived from aSeed.
   request_flow(protocol::claim_request aClaim,
                time_point aDeadline,
                std::uint64_t aSeed);
 
   flow_step Start(time_point aNow);
-  // An answer to the last ask_control.
+  // Handles the answer to the last control_request.
   flow_step OnControl(const result<protocol::answer_body>& aAnswer,
                       time_point aNow);
   // aMayRetry: the retry budget allows another attempt if this one did not
@@ -80,7 +83,7 @@
                      time_point aNow);
 
   [[nodiscard]] const protocol::claim_request& Claim() const { return mClaim; }
-  // What came of the last claim, for the entry limiter.
+  // Whether the last claim was granted and its attempt is in progress.
   [[nodiscard]] bool IsForwarding() const
   {
     return mStage == stage::Forwarding;
@@ -94,16 +97,16 @@
     Reporting,
   };
 
-  flow_step AskClaim(time_point aNow);
+  flow_step SendClaim(time_point aNow);
   flow_step OnClaimAnswer(const protocol::claim_answer& aAnswer,
                           time_point aNow);
   flow_step OnGranted(const protocol::claim_granted& aGranted, time_point aNow);
-  flow_step GiveBack(http::response aResponse, time_point aNow);
+  flow_step ReleaseClaim(http::response aResponse, time_point aNow);
   flow_step Report(protocol::finish_request aReport,
-                   http::response aThen,
-                   bool aRetry,
+                   http::response aCallerAnswer,
+                   bool aShouldRetry,
                    time_point aNow);
-  [[nodiscard]] protocol::finish_request FinishAs(
+  [[nodiscard]] protocol::finish_request MakeReport(
     ledger::attempt_result aResult,
     traffic::finish_result aQuality,
     time_point aNow) const;
@@ -116,8 +119,8 @@
   std::uint32_t mAttempts = 0;
   time_point mSentAt{};
   protocol::finish_request mReport;
-  http::response mThen; // for the caller, once reported
-  bool mRetry = false;  // claim again once reported
+  http::response mCallerAnswer; // sent once reported
+  bool mShouldRetry = false;    // claim again once reported
 };
 
 } // namespace oriolewalk::entry
