--- a/oriolewalk/entry/answers.cc
+++ b/oriolewalk/entry/answers.cc
@@ -97,7 +97,7 @@
                      { error_code::Conflict,
                        "claim",
                        {},
-                       "the idempotency key was used for another request" });
+                       "the idempotency key belongs to other work" });
 }
 
 http::response
@@ -107,9 +107,7 @@
     case ledger::request_state::Running:
     case ledger::request_state::Ready: {
       http::response answer =
-        OutcomeAnswer(kConflict,
-                      "running",
-                      "an earlier attempt with this key is in progress");
+        OutcomeAnswer(kConflict, "running", "an earlier copy is in progress");
       answer.mHeaders.push_back(
         { "Retry-After", RetryAfter(kRunningRetryAfter) });
       return answer;
@@ -175,7 +173,7 @@
 result<http::response>
 DecodeAnswer(std::string_view aBytes)
 {
-  auto stored = Decode<stored_answer>(aBytes, "reading a stored answer");
+  auto stored = Decode<stored_answer>(aBytes, "reading a kept answer");
   if (!stored) {
     return Fail(stored.error());
   }
--- a/oriolewalk/entry/control_link.cc
+++ b/oriolewalk/entry/control_link.cc
@@ -60,7 +60,7 @@
   const time_point now = runtime_clock::now();
   if (now >= aRequest->mUntil) {
     aRequest->mDone(Fail(
-      error_code::Timeout, "calling control", "no leader answered in time"));
+      error_code::Timeout, "asking control", "no leader answered in time"));
     return;
   }
   UpdateDeadline(aRequest->mBody, aRequest->mUntil, now);
--- a/oriolewalk/entry/http_handler.cc
+++ b/oriolewalk/entry/http_handler.cc
@@ -76,7 +76,7 @@
       [](const auto&) {
         return ErrorAnswer(
           kUnavailable,
-          { error_code::Internal, "answer", {}, "an unexpected answer" });
+          { error_code::Internal, "answer", {}, "a strange answer" });
       },
     },
     aBody);
--- a/oriolewalk/entry/platform_api.cc
+++ b/oriolewalk/entry/platform_api.cc
@@ -37,7 +37,7 @@
 {
   const auto task = cell::ParseTask(aFields.Text("task"));
   if (!task) {
-    aFields.AddProblem("task", "must be of the form job-1/0");
+    aFields.AddProblem("task", "must be as job-1/0");
   }
   return task.value_or(cell::task_id{});
 }
@@ -170,10 +170,7 @@
   if (aAnswer.mAnnounceAgain) {
     return ErrorAnswer(
       kNotFound,
-      { error_code::NotFound,
-        "polling",
-        {},
-        "the worker is not known and must announce itself again" });
+      { error_code::NotFound, "polling", {}, "not known: announce again" });
   }
   json::array commands;
   for (const cell::worker_command& command : aAnswer.mCommands) {
--- a/oriolewalk/entry/request_flow.cc
+++ b/oriolewalk/entry/request_flow.cc
@@ -78,7 +78,7 @@
   const auto* claimed = std::get_if<protocol::claim_answer>(&*aAnswer);
   if (claimed == nullptr) {
     return ReleaseClaim(
-      BusyAnswer("control sent an unexpected answer", kRetryAfter), aNow);
+      BusyAnswer("control gave a strange answer", kRetryAfter), aNow);
   }
   return OnClaimAnswer(*claimed, aNow);
 }
