--- a/testing/flow/flow_history_test.cc
+++ b/testing/flow/flow_history_test.cc
@@ -34,34 +34,34 @@
 
 } // namespace
 
-TEST_CASE("random histories of faults break no promise")
+TEST_CASE("random histories of faults violate no guarantee")
 {
   PlaySeeds(150, {});
 }
 
-TEST_CASE("random histories break no promise where others carry the orders")
+TEST_CASE("random histories violate no guarantee while relays make the calls")
 {
   // A leader's orders go through processes that die, pause and are cut off: an
-  // order may be lost with its carrier, or carried out when nobody waits for
-  // its answer any more.
+  // order may be lost with its relay, or executed when nobody waits for its
+  // answer any longer.
   flow_options options;
   options.mMaxWorkersWithoutRelays = 0;
   PlaySeeds(150, options);
 }
 
-TEST_CASE("random histories break no promise while the leader is busy")
+TEST_CASE("random histories violate no guarantee while the leader is busy")
 {
-  // A leader whose processor is full: orders wait for seconds before they go
-  // out, answers wait to be read, a commit takes a second, workers are cut off
-  // and come back with ends that nobody waits for any more. No task that was
-  // done and acknowledged may start again.
+  // The leader's processor is saturated: orders wait for seconds before they
+  // are sent, answers wait to be read, a commit takes a second, and workers are
+  // cut off and return with ends that nobody waits for any longer. No task that
+  // was done and acknowledged may start again.
   PlaySeeds(150, {}, { .mBusy = true });
 }
 
-TEST_CASE("random histories break no promise while workers start again")
+TEST_CASE("random histories violate no guarantee while workers restart")
 {
-  // Workers start again under their ids, between all that may happen else: what
-  // the leader kept of the process before must not be taken for the new one's.
+  // Workers restart under their ids, amid all other faults. What the leader
+  // knows of the former process must not be applied to the new one.
   PlaySeeds(150, {}, { .mRestarts = true });
   flow_options carried;
   carried.mMaxWorkersWithoutRelays = 0;
@@ -69,20 +69,21 @@
   PlaySeeds(75, {}, { .mBusy = true, .mRestarts = true });
 }
 
-TEST_CASE("random histories break no promise while orders stand still")
+TEST_CASE("random histories violate no guarantee while orders are held")
 {
-  // Guards against orders that go on after seconds and reach a process that
-  // started meanwhile.
+  // Guards against orders that are delivered after seconds and reach a process
+  // that started in the meantime.
   flow_options carried;
   carried.mMaxWorkersWithoutRelays = 0;
   PlaySeeds(75, {}, { .mBusy = true, .mRestarts = true, .mHolds = true });
   PlaySeeds(75, carried, { .mRestarts = true, .mHolds = true });
 }
 
-TEST_CASE("random histories break no promise while tasks crash their workers")
+TEST_CASE(
+  "random histories violate no guarantee while tasks crash their workers")
 {
-  // Guards against crashes that aren't counted: between changes of leader,
-  // silent workers, restarts and late orders.
+  // Guards against crashes that aren't counted because of changes of leader,
+  // silent workers, restarts or late orders.
   flow_options carried;
   carried.mMaxWorkersWithoutRelays = 0;
   PlaySeeds(150, {}, { .mCrashing = true });
@@ -90,10 +91,11 @@
   PlaySeeds(75, carried, { .mBusy = true, .mCrashing = true });
 }
 
-TEST_CASE("random histories break no promise while workers' rooms shrink")
+TEST_CASE("random histories violate no guarantee while capacities shrink")
 {
-  // Guards against starts by a capacity that a late heartbeat, another leader
-  // or a commit under way doesn't show.
+  // Guards against starts that exceed a capacity that has shrunk, when the
+  // change is in a late heartbeat, unknown to another leader or in a commit in
+  // progress.
   flow_options carried;
   carried.mMaxWorkersWithoutRelays = 0;
   PlaySeeds(150, {}, { .mShrinking = true });
@@ -101,11 +103,12 @@
   PlaySeeds(75, {}, { .mRestarts = true, .mHolds = true, .mShrinking = true });
 }
 
-TEST_CASE("a leader knows no room by a leader that didn't hear the worker")
+TEST_CASE("no start exceeds a capacity that shrank while no leader noticed")
 {
-  // Guards against a start by a room that has shrunk unheard: a leader of less
-  // than a heartbeat's pause (2071, 202, 815), one that was paused (1097), a
-  // start that overtakes the commit of the change (1374).
+  // Guards against a start for a capacity that has shrunk unnoticed: with a
+  // leader that led for less than a heartbeat interval (2071, 202, 815), with
+  // one that was paused (1097), or if the start overtakes the commit of the
+  // change (1374).
   flow_options carried;
   carried.mMaxWorkersWithoutRelays = 0;
   for (const std::uint64_t seed : { 1'097, 1'374, 2'071 }) {
@@ -118,8 +121,8 @@
 
 TEST_CASE("a start that its carrier held brings no worker over its capacity")
 {
-  // Guards against a start that was planned by room that shrinks while it
-  // stands still on its way, with a lease that is still valid.
+  // Guards against a start that was planned for a capacity that shrinks while
+  // the start is held in transit, with a lease that is still valid.
   flow_options carried;
   carried.mMaxWorkersWithoutRelays = 0;
   PlaySeed(1'872,
@@ -132,41 +135,41 @@
              .mShrinking = true });
 }
 
-TEST_CASE("a crash counts where its worker's next life is not heard")
+TEST_CASE("a crash counts if its worker's next incarnation is not heard from")
 {
-  // Guards against a loss that is forgotten when the silent worker is taken
-  // out: seed 855 started the task once too often.
+  // Guards against a loss that is forgotten when the silent worker is removed:
+  // seed 855 started the task once too often.
   flow_options carried;
   carried.mMaxWorkersWithoutRelays = 0;
   PlaySeed(855, 60, carried, { .mBusy = true, .mCrashing = true });
 }
 
-TEST_CASE("a cursor on its way while its worker starts again tells nobody")
+TEST_CASE("a cursor in flight while its worker restarts acknowledges no end")
 {
-  // A leader that is busy for a second has a look on its way that names the
-  // cursor. Its worker starts again meanwhile, and the new process has begun
-  // and ended a task of its own when the look arrives: it forgets that end, and
-  // the task starts a second time.
+  // Guards against a task that starts a second time: a poll with the cursor of
+  // the worker's former process is in flight while the leader is busy for a
+  // second. The worker restarts, and the new process has started and ended a
+  // task of its own when the poll arrives, which makes it forget that end.
   for (const std::uint64_t seed : { 734, 2'565 }) {
     PlaySeed(seed, 60, {}, { .mBusy = true, .mRestarts = true });
   }
 }
 
-TEST_CASE("a disk lost while another voter is out of the group is not played")
+TEST_CASE("a history loses no disk while another voter is out of the group")
 {
-  // Seed 1077: a voter that was cut off for over 20 s is taken out; it is back,
-  // and not in the group yet, when a second one loses its disk. That is one
-  // loss more than the group of two bears, and no fault of it.
+  // Seed 1077: a voter that was cut off for over 20 s is removed. It is back,
+  // but not in the group yet, when a second one loses its disk. That is one
+  // loss more than the group of two tolerates, and not a fault of the group.
   flow_options options;
   options.mMaxWorkersWithoutRelays = 0;
   PlaySeed(1'077, 100, options, { .mBusy = true });
 }
 
-TEST_CASE("a carrier's loss stops nothing for longer than a lease")
+TEST_CASE("a relay's loss stops nothing for longer than a lease")
 {
-  // The process that carries a worker's orders is cut off from the leader. Its
-  // worker is not renewed and its ends aren't seen until another one carries
-  // them; a job that runs there goes on, and the next one is done soon.
+  // The worker's relay is cut off from the leader. Until another relay makes
+  // the calls, the worker's lease is not renewed and its ends aren't seen. The
+  // job that was submitted just before is nevertheless done soon.
   flow_options options;
   options.mMaxWorkersWithoutRelays = 0;
   fake_group group(3, 3, 7, 9, options);
