--- a/oriolewalk/flow/flow_state.cc
+++ b/oriolewalk/flow/flow_state.cc
@@ -605,7 +605,7 @@
 }
 
 // If the runs were released instead, a task could start elsewhere while the new
-// process carries out a start order that was in flight to the previous one.
+// process executes a start order that was in flight to the previous one.
 void
 flow_state::MoveRuns(worker_number aFrom, worker_number aTo)
 {
--- a/testing/flow/group_test.cc
+++ b/testing/flow/group_test.cc
@@ -250,7 +250,7 @@
   CHECK(scene.mGroup.Oracle().Violations() == std::vector<std::string>{});
 }
 
-TEST_CASE("orders carried out seconds late start nothing twice")
+TEST_CASE("orders executed seconds late start nothing twice")
 {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
