--- a/oriolewalk/cell/order.cc
+++ b/oriolewalk/cell/order.cc
@@ -105,7 +105,9 @@
         return NextJob(aCursor);
       case start_result::DoesNotFit:
         if (FreeCapacityFor(mPlan, job)) {
-          return NextJob(aCursor); // It has a reservation and overtakes no job.
+          // Capacity is being freed for the job and reserved for it, so trying
+          // the jobs behind it doesn't count as skipping it.
+          return NextJob(aCursor);
         }
         return ++aCursor.mSkipped <= mPlan.mSoft.mOptions.mBackfillDepth &&
                NextJob(aCursor);
--- a/oriolewalk/cell/placing.cc
+++ b/oriolewalk/cell/placing.cc
@@ -32,7 +32,8 @@
 // starvation.
 constexpr std::int64_t kPaddedWaitMs = 30'000;
 
-// Returns whether a smaller task may run beside the reserved capacity.
+// Returns true if a task of aSize leaves the reserved capacity free at the
+// reservation's start. Tasks that are expected to end by then are not counted.
 bool
 FitsBesideReserved(const plan_context& aPlan,
                    const resources& aSize,
@@ -82,7 +83,8 @@
                       WaitedMs(mPlan, mJob) < kPaddedWaitMs;
     auto found = FindFor(pads ? padded : mJob.mSpec.mEach);
     if (!found && mFailedOn != nullptr && mRejectedForTask) {
-      // It failed on every worker that fits, so all are equally good.
+      // Earlier attempts of the task failed on every worker that fits, so all
+      // are equally good.
       mFailedOn = nullptr;
       found = FindFor(mJob.mSpec.mEach);
     }
@@ -296,7 +298,8 @@
     const auto slot = worker_choice(aPlan, aJob, at).Find();
     if (!slot) {
       TakeBack(aPlan, before);
-      aPlan.mSoft.mUnplaced = known; // Valid for the trial only.
+      // Searches in the trial may have failed because of its starts.
+      aPlan.mSoft.mUnplaced = known;
       return start_result::DoesNotFit;
     }
     ProposeStart(aPlan, aJob, at, *slot);
--- a/oriolewalk/cell/plan.cc
+++ b/oriolewalk/cell/plan.cc
@@ -1,4 +1,4 @@
-// Plan, and its periodic housekeeping.
+// Implements Plan and starts its periodic housekeeping.
 
 #include <algorithm>
 #include <cstdint>
--- a/oriolewalk/cell/room.cc
+++ b/oriolewalk/cell/room.cc
@@ -23,7 +23,8 @@
 namespace {
 
 constexpr std::int64_t kNever = std::numeric_limits<std::int64_t>::max();
-// Max places freed for one job in one Plan; the next Plan continues.
+// Max places freed for one job in one Plan; the next Plan continues. A gang
+// needs all its places at once and isn't limited.
 constexpr std::uint32_t kMaxPlaces = 16;
 // Work that was moved this often on average isn't preempted, so that it doesn't
 // move back and forth. A checkpoint loses less and may happen more often.
@@ -66,7 +67,8 @@
     mThrottles = true;
     auto best = Scan();
     if (!best) {
-      mThrottles = false; // Throttling frees processors only.
+      // Throttling frees processors only, and more than those may be missing.
+      mThrottles = false;
       best = Scan();
     }
     mPlan.mSoft.mScanFrom += mPlan.mSoft.mOptions.mMostScanned;
@@ -454,8 +456,9 @@
       TryPreempt(aPlan, aJob, TasksToStart(aPlan, aJob))) {
     return true;
   }
-  // One per organisation: small jobs of a busy organisation would use up all
-  // reservations for capacity that is free in a moment anyway.
+  // At most one per organisation: otherwise the small jobs of a busy
+  // organisation would use up all reservations for capacity that is free in a
+  // moment anyway.
   const bool mayHold =
     soft.mReservations.Count(false) < soft.mOptions.mMostQuietReservations &&
     !soft.mReservations.Waits(aJob.mOrganisation);
--- a/oriolewalk/cell/upkeep.cc
+++ b/oriolewalk/cell/upkeep.cc
@@ -1,5 +1,5 @@
-// Periodic upkeep: expired or overdue reservations, throttles to lift, and
-// draining workers.
+// Periodic housekeeping: expired or overdue reservations, throttles to lift,
+// and draining workers.
 
 #include <algorithm>
 #include <cstdint>
@@ -19,8 +19,8 @@
 namespace oriolewalk::cell {
 namespace {
 
-// A reservation whose capacity is this late is made again, where capacity is
-// now expected first.
+// A reservation whose capacity is this late is dropped, and the job reserves
+// capacity again where it is now expected to be free first.
 constexpr std::int64_t kLateMs = 10'000;
 // If preemption hasn't freed the capacity after this many escalations, it is
 // searched for elsewhere.
@@ -88,9 +88,10 @@
   }
 }
 
-// Replicas move one at a time, each when all others of its service run. Tasks
-// with checkpoints continue elsewhere; the others may finish until the
-// deadline. Tasks that must not run twice are never stopped.
+// Until the deadline, replicas move one at a time, each when all others of its
+// service run; at the deadline the remaining ones move together. Tasks with
+// checkpoints continue elsewhere; the others may finish until the deadline.
+// Tasks that must not run twice are never stopped.
 void
 DrainTask(plan_context& aPlan, const worker_record& aWorker, const task_id& aId)
 {
--- a/oriolewalk/entry/caller_api.cc
+++ b/oriolewalk/entry/caller_api.cc
@@ -58,8 +58,9 @@
   return value;
 }
 
-// Detects a key that is used again for a request with other content. The
-// deadline and connection headers concern one delivery only and are left out.
+// Detects a key that is used again for a request with other content. The other
+// headers, such as the deadline, may differ between deliveries of one request
+// and are left out.
 std::uint64_t
 Fingerprint(const http::request& aRequest,
             const protocol::claim_request& aClaim)
--- a/oriolewalk/ledger/records.h
+++ b/oriolewalk/ledger/records.h
@@ -82,7 +82,8 @@
 struct claim
 {
   request_ref mRef;
-  // Hash of method, path, class and body: the same key must mean the same work.
+  // Hash of method, path, class, repeatability and body: the same key must mean
+  // the same work.
   std::uint64_t mFingerprint = 0;
   placement mPlacement;
   // Chosen at random by the owner for each claim, and unique among all owners.
@@ -166,7 +167,7 @@
   Ready,     // The last attempt did not start; the key may be claimed again.
   Completed, // Final.
   NotRun,    // Final: a tombstone.
-  Unknown,   // May have run. Ends if the owner comes back and reports.
+  Unknown,   // May have run. A late report of the owner replaces it.
 };
 
 // Stored for every key of the window, so it is small. The placement of a
--- a/oriolewalk/ledger/request_ledger.cc
+++ b/oriolewalk/ledger/request_ledger.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-// A second copy of the key in the order of answers, and two allocations.
+// Accounts for a second copy of the key in the queue of answers, and for two
+// allocations.
 constexpr std::size_t kAnswerOverhead = 160;
 
 std::size_t
--- a/testing/cell/scenario_test.cc
+++ b/testing/cell/scenario_test.cc
@@ -89,9 +89,9 @@
 
 TEST_CASE("a gang starts among small jobs that never stop coming")
 {
-  // Small tasks fill any free capacity at once, so whole workers would never
-  // be free together without reservations for the gang. Two gangs submitted at
-  // once must both run, one after the other.
+  // Small tasks fill any free capacity at once, so the five whole workers of
+  // a gang would never be free together without reservations for it. Two gangs
+  // submitted at once must both run, one after the other.
   fake_cell cell;
   AddWorkers(cell, 6);
   job_spec gang = MakeSpec("taksa", job_class::Normal, 5, kWorker, 5000);
